--- a/src/pearbarrow/net/connection.cc
+++ b/src/pearbarrow/net/connection.cc
@@ -18,18 +18,19 @@
 
 constexpr std::size_t max_gathered_buffers = 64;
 constexpr std::size_t max_gathered_bytes = std::size_t{1024} * 1024;
-/// Writes below this are merged before TLS, which takes one buffer at a time.
+/// Smaller writes are merged before TLS, which accepts one buffer at a time.
 constexpr std::size_t tls_merge_bytes = std::size_t{16} * 1024;
-/// How long a closing connection waits for the other side to see the last bytes.
+/// Time for which a closing connection waits until the peer has received the last bytes.
 constexpr base::milliseconds linger_time{1'000};
-/// A queue below this is never cut off for the memory that it takes: ending a thousand of them
-/// would free 16 MB.
-constexpr std::size_t least_cut_off = std::size_t{16} * 1024;
+/// A connection with a smaller queue is never cut off because of memory: closing a thousand of them
+/// would free only 16 MB.
+constexpr std::size_t min_cut_off_bytes = std::size_t{16} * 1024;
 
 template <int Level, int Name>
 using integer_option = boost::asio::detail::socket_option::integer<Level, Name>;
 
-/// Nagle's delay off; a vanished peer found by the kernel in about 15 s also on an idle link.
+/// Disables Nagle's algorithm, and configures the keep-alive probes of the kernel to detect a
+/// vanished peer within about 15 s, also on an idle connection.
 void set_socket_options(boost::asio::ip::tcp::socket& socket) {
     boost::system::error_code ignored;
     socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
@@ -54,12 +55,13 @@
       tls_context_(std::move(tls)),
       options_(std::move(options)),
       counters_(counters ? std::move(counters) : std::make_shared<traffic_counters>()),
-      give_up_(context, [this] {
-          lose(base::make_error(absl::StatusCode::kUnavailable, "the other side takes no bytes",
-                                {.step = "write",
-                                 .peer = peer_,
-                                 .reason = "slow_reader",
-                                 .was_executed = base::executed::unknown}));
+      write_deadline_(context, [this] {
+          close_with_error(base::make_error(absl::StatusCode::kUnavailable,
+                                            "the other side takes no bytes",
+                                            {.step = "write",
+                                             .peer = peer_,
+                                             .reason = "slow_reader",
+                                             .was_executed = base::executed::unknown}));
       }) {
     if (tls_context_ != nullptr) {
         tls_ = std::make_unique<tls_layer>(socket_, tls_context_->context);
@@ -75,22 +77,22 @@
     if (options_.held == nullptr) {
         return;
     }
-    options_.held->remove(options_.held_as, before);
-    options_.held->add(options_.held_as, bytes);
-    if (bytes >= least_cut_off && before < least_cut_off) {
+    options_.held->remove(options_.buffer_kind, before);
+    options_.held->add(options_.buffer_kind, bytes);
+    if (bytes >= min_cut_off_bytes && before < min_cut_off_bytes) {
         options_.held->join(*this);
-    } else if (bytes < least_cut_off && before >= least_cut_off) {
+    } else if (bytes < min_cut_off_bytes && before >= min_cut_off_bytes) {
         options_.held->leave(*this);
     }
 }
 
 void connection::cut_off() {
-    lose(base::make_error(absl::StatusCode::kResourceExhausted,
-                          "the node holds as many bytes as it may",
-                          {.step = "write",
-                           .peer = peer_,
-                           .reason = "memory_bound",
-                           .was_executed = base::executed::unknown}));
+    close_with_error(base::make_error(absl::StatusCode::kResourceExhausted,
+                                      "the node holds as many bytes as it may",
+                                      {.step = "write",
+                                       .peer = peer_,
+                                       .reason = "memory_bound",
+                                       .was_executed = base::executed::unknown}));
 }
 
 void connection::connect(const endpoint& server, ready_handler ready) {
@@ -125,12 +127,12 @@
 }
 
 void connection::accept(ready_handler ready) {
-    remember_peer();
+    record_peer_address();
     set_socket_options(socket_);
     handshake(true, std::move(ready));
 }
 
-void connection::remember_peer() {
+void connection::record_peer_address() {
     error_code error;
     const auto remote = socket_.remote_endpoint(error);
     peer_ =
@@ -198,18 +200,18 @@
         if (closing_ && !lingering_) {
             return;  // The last bytes are still being written.
         }
-        lose(broken(error, "read"));
+        close_with_error(connection_error(error, "read"));
         return;
     }
     counters_->received += size;
-    // A copy, so that the user outlives its own call to `close`.
+    // The copy keeps the user alive if it calls `close`.
     if (const auto user = user_; user != nullptr) {
         user->on_data(std::string_view(read_buffer_.data(), size));
     }
     read_next();
 }
 
-absl::Status connection::broken(const error_code& error, std::string_view step) const {
+absl::Status connection::connection_error(const error_code& error, std::string_view step) const {
     const bool orderly = error == boost::asio::error::eof;
     return base::make_error(
         orderly ? absl::StatusCode::kOutOfRange : absl::StatusCode::kUnavailable, error.message(),
@@ -236,7 +238,8 @@
                               .peer = peer_,
                               .reason = "slow_reader",
                               .was_executed = base::executed::unknown});
-        // Reported from the loop: the user is in the middle of its own call.
+        // The error is reported from the event loop because the user may be inside one of its own
+        // calls.
         auto user = user_;
         close();
         boost::asio::post(context_, [user = std::move(user), status] {
@@ -247,7 +250,8 @@
         return;
     }
     if (options_.held != nullptr && options_.held->is_over()) {
-        // From the loop: whoever is cut off may be in the middle of its own call.
+        // Posted to the event loop because the connection that is cut off may be inside one of its
+        // own calls.
         boost::asio::post(context_, [held = options_.held] { held->enforce(); });
     }
     schedule_flush();
@@ -284,7 +288,7 @@
         return;
     }
     writing_ = true;
-    give_up_.set_after(options_.write_timeout);
+    write_deadline_.set_after(options_.write_timeout);
     auto done = [self = shared_from_this()](const error_code& error, std::size_t size) {
         self->on_written(error, size);
     };
@@ -315,7 +319,7 @@
         return;
     }
     if (error) {
-        lose(broken(error, "write"));
+        close_with_error(connection_error(error, "write"));
         return;
     }
     counters_->sent += size;
@@ -328,10 +332,10 @@
         queue_.pop_front();
     }
     if (queue_.empty()) {
-        give_up_.clear();
+        write_deadline_.clear();
     }
     flush();
-    // A copy, so that the user outlives its own call to `close`.
+    // The copy keeps the user alive if it calls `close`.
     if (const auto user = user_; user != nullptr) {
         user->on_progress();
     }
@@ -351,10 +355,10 @@
 }
 
 void connection::end_gracefully() {
-    // Bytes that the other side still sends are read and dropped: closing with unread bytes would
-    // make the kernel discard the last answer.
+    // Received bytes are read and discarded: closing a socket with unread bytes would make the
+    // kernel discard the last response.
     lingering_ = true;
-    give_up_.set_after(linger_time);
+    write_deadline_.set_after(linger_time);
     if (tls_ != nullptr) {
         tls_->stream.async_shutdown(
             [self = shared_from_this()](const error_code& /*error*/) { self->close(); });
@@ -373,11 +377,12 @@
         return;
     }
     open_ = false;
-    give_up_.clear();
+    write_deadline_.clear();
     error_code ignored;
     socket_.close(ignored);
     release_user();
-    // An operation under way still refers to the bytes that it writes; they go with the connection.
+    // A pending operation still refers to the bytes that it writes. They are freed with the
+    // connection.
     if (!writing_) {
         queue_.clear();
     }
@@ -391,7 +396,7 @@
     }
 }
 
-void connection::lose(const absl::Status& status) {
+void connection::close_with_error(const absl::Status& status) {
     if (!open_) {
         return;
     }
--- a/src/pearbarrow/net/connection.h
+++ b/src/pearbarrow/net/connection.h
@@ -1,4 +1,4 @@
-/// One TCP connection, plain or TLS, with a bounded write queue. Internal to `net`.
+/// One plain or TLS TCP connection with a bounded write queue. Internal to `net`.
 #pragma once
 
 #include <utility>
@@ -22,15 +22,16 @@
 
 namespace pearbarrow::net {
 
-/// What a connection reports to. Kept alive by the connection while that is open.
+/// Receives the events of a connection. An open connection keeps its user alive.
 class connection_user {
   public:
     virtual ~connection_user() = default;
     virtual void on_data(std::string_view bytes) = 0;
-    /// The other side closed, the connection broke, or a limit cut it off. Not called after
-    /// `close` or `close_after_writes`. Code kOutOfRange means an orderly end by the other side.
+    /// Runs when the peer closes, the connection breaks, or a limit ends it. Does not run after
+    /// `close` or `close_after_writes`. Code kOutOfRange means that the peer closed the connection
+    /// in an orderly way.
     virtual void on_lost(const absl::Status& status) = 0;
-    /// The other side has taken some of what was queued.
+    /// Runs after the kernel accepts queued bytes.
     virtual void on_progress() {}
 };
 
@@ -38,11 +39,11 @@
     std::size_t max_pending_bytes = std::size_t{64} * 1024 * 1024;
     base::milliseconds write_timeout{30'000};
     std::size_t read_buffer_bytes = std::size_t{8} * 1024;
-    /// Whether a TLS server's certificate must name the IP number connected to.
+    /// Whether the certificate of a TLS server must contain the IP address of the connection.
     bool verify_address = true;
-    /// Where queued bytes are counted, and as what; null: nowhere.
+    /// Counts the queued bytes; null disables the accounting.
     std::shared_ptr<held_bytes> held = nullptr;
-    holding held_as = holding::answers;
+    holding buffer_kind = holding::answers;
 };
 
 /// Total traffic of several connections.
@@ -57,8 +58,7 @@
     using tcp = boost::asio::ip::tcp;
     using ready_handler = std::function<void(const absl::Status&)>;
 
-    /// A connection over `socket`, which `connect` opens when it is not open yet. Without `tls`
-    /// the bytes go as they are.
+    /// Wraps `socket`; `connect` opens the socket if it is closed. A null `tls` selects plain TCP.
     connection(boost::asio::io_context& context, tcp::socket socket,
                std::shared_ptr<tls_context> tls, connection_options options,
                std::shared_ptr<traffic_counters> counters = nullptr);
@@ -66,49 +66,50 @@
     connection(const connection&) = delete;
     connection& operator=(const connection&) = delete;
 
-    /// Connects, and does the TLS handshake. `ready` runs once, unless closed before. An error's
-    /// reason is `connect_failed` or `tls_handshake_failed`.
+    /// Connects and performs the TLS handshake. `ready` runs once, unless the connection is closed
+    /// first. The reason of an error is `connect_failed` or `tls_handshake_failed`.
     void connect(const endpoint& server, ready_handler ready);
-    /// Server side: the TLS handshake if there is one.
+    /// Performs the server side of the TLS handshake, if TLS is enabled.
     void accept(ready_handler ready);
 
-    /// Sets who gets the data, and starts reading the first time.
+    /// Sets the receiver of the data. The first call starts reading.
     void attach(std::shared_ptr<connection_user> user);
     void pause_reading() { paused_ = true; }
     void resume_reading();
 
-    /// Queues bytes; all of one loop turn go out together. Ignored once closed. Passing the bound
-    /// cuts the connection off.
+    /// Queues bytes. All writes of one event loop iteration are sent together. A closed connection
+    /// ignores the call; exceeding `max_pending_bytes` closes the connection.
     void write(std::string bytes);
     std::size_t pending_bytes() const { return pending_; }
-    /// Position in the stream at which the next queued byte will stand.
+    /// Stream position of the next byte to be queued.
     std::uint64_t queued_position() const { return queued_position_; }
-    /// Whether any byte from `position` on may have been given to the kernel.
+    /// Whether a byte at or after `position` may have reached the kernel.
     bool may_have_sent(std::uint64_t position) const { return submitted_position_ > position; }
 
-    /// Runs `task` on the loop, after the present callback.
+    /// Runs `task` on the event loop after the current callback.
     void post(std::function<void()> task);
 
-    /// Closes at once, without a callback.
+    /// Closes the connection immediately, without a callback.
     void close();
-    /// Ends the user's part; closes when the queue is written and the other side has seen it.
+    /// Detaches the user, and closes the connection once the queue is written and the peer has
+    /// acknowledged the end.
     void close_after_writes();
     bool is_open() const { return open_ && !closing_; }
-    /// The other side's address.
+    /// Address of the peer.
     std::string peer() const { return peer_; }
 
   private:
     struct tls_layer;
     using error_code = boost::system::error_code;
 
-    // As one who holds bytes.
+    // Implementation of the buffer owner interface.
     std::size_t held() const override { return pending_; }
     base::instant progressed_at() const override { return progressed_at_; }
     void cut_off() override;
-    /// Notes how many bytes are queued, here and in the ledger.
+    /// Updates the number of queued bytes and the shared accounting.
     void set_pending(std::size_t bytes);
 
-    void remember_peer();
+    void record_peer_address();
     void handshake(bool as_server, ready_handler ready);
     void read_next();
     void on_read(const error_code& error, std::size_t size);
@@ -117,9 +118,9 @@
     void on_written(const error_code& error, std::size_t size);
     void merge_small_writes();
     void end_gracefully();
-    void lose(const absl::Status& status);
+    void close_with_error(const absl::Status& status);
     void release_user();
-    absl::Status broken(const error_code& error, std::string_view step) const;
+    absl::Status connection_error(const error_code& error, std::string_view step) const;
 
     boost::asio::io_context& context_;
     tcp::socket socket_;
@@ -132,12 +133,13 @@
     std::deque<std::string> queue_;
     std::size_t front_offset_ = 0;
     std::size_t pending_ = 0;
-    /// When the other side last took bytes, or the first of those that wait were queued.
+    /// Time at which the peer last accepted bytes, or at which the oldest pending bytes were
+    /// queued.
     base::instant progressed_at_{};
     std::uint64_t queued_position_ = 0;
     std::uint64_t written_position_ = 0;
     std::uint64_t submitted_position_ = 0;
-    deadline give_up_;
+    deadline write_deadline_;
     std::string peer_;
     bool open_ = true;
     bool closing_ = false;
--- a/src/pearbarrow/net/datagram.cc
+++ b/src/pearbarrow/net/datagram.cc
@@ -18,12 +18,12 @@
     return {value.address().to_string(), value.port()};
 }
 
-/// Room for the members' tables that several peers of a large fleet send at once, while the loop is
-/// busy. With the kernel's default (208 KiB) 380 nodes on one machine lost two thirds of all
-/// datagrams, took each other for dead and never settled.
+/// Holds the member tables that several peers of a large fleet send at the same time while the
+/// event loop is busy. With the kernel default (208 KiB), 380 nodes on one machine lost two thirds
+/// of all datagrams, declared each other dead and never converged.
 constexpr int receive_buffer_bytes = 2 * 1024 * 1024;
 
-/// The part that pending operations keep alive.
+/// State that pending operations keep alive.
 class socket_core final : public std::enable_shared_from_this<socket_core> {
   public:
     socket_core(boost::asio::io_context& context, datagram_socket::receive_handler handler)
@@ -47,7 +47,7 @@
                 absl::StatusCode::kUnavailable, error.message(),
                 {.step = "bind_datagram", .peer = to_string(listen), .reason = "bind_failed"});
         }
-        // The kernel grants at most its own bound (net.core.rmem_max); less is no failure.
+        // The kernel limits the size to net.core.rmem_max. A smaller buffer is not an error.
         socket_.set_option(udp::socket::receive_buffer_size(receive_buffer_bytes), error);
         receive();
         return absl::OkStatus();
@@ -92,8 +92,8 @@
         if (closed_ || error == boost::asio::error::operation_aborted) {
             return;
         }
-        // Other errors are echoes of earlier sends (ICMP port unreachable); a larger datagram
-        // than any sent here is cut by the kernel and not passed on.
+        // Other errors result from earlier sends (ICMP port unreachable). The kernel truncates a
+        // datagram that exceeds the largest size sent here, and it is dropped.
         if (!error && size <= max_datagram_bytes) {
             bytes_received_ += size;
             handler_(from_udp(sender_), std::string_view(buffer_.data(), size));
--- a/src/pearbarrow/net/datagram.h
+++ b/src/pearbarrow/net/datagram.h
@@ -1,4 +1,4 @@
-/// UDP datagrams, for membership probes.
+/// UDP datagrams for membership probes.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace pearbarrow::net {
 
-/// Largest payload sent: fits an Ethernet frame with room for the headers.
+/// Largest payload that is sent. It fits into an Ethernet frame with its headers.
 inline constexpr std::size_t max_datagram_bytes = 1400;
 
 class datagram_socket {
@@ -23,7 +23,7 @@
     virtual ~datagram_socket() = default;
     virtual absl::Status start() = 0;
     virtual endpoint local_endpoint() const = 0;
-    /// Sends without waiting; a datagram that the kernel does not take is lost.
+    /// Sends without blocking. A datagram that the kernel does not accept is lost.
     virtual void send(const endpoint& to, std::string payload) = 0;
     virtual std::uint64_t bytes_sent() const = 0;
     virtual std::uint64_t bytes_received() const = 0;
--- a/src/pearbarrow/net/deadline.cc
+++ b/src/pearbarrow/net/deadline.cc
@@ -28,22 +28,22 @@
     }
 
     void fire() {
-        if (!wanted.has_value() || abandoned) {
+        if (!expires_at.has_value() || abandoned) {
             return;
         }
-        if (now() < *wanted) {
-            arm(*wanted);
+        if (now() < *expires_at) {
+            arm(*expires_at);
             return;
         }
-        wanted.reset();
-        // A copy, because the callback may destroy the deadline.
+        expires_at.reset();
+        // The copy is needed because the callback may destroy the deadline.
         const auto callback = on_expiry;
         callback();
     }
 
     boost::asio::steady_timer timer;
     std::function<void()> on_expiry;
-    std::optional<base::instant> wanted;
+    std::optional<base::instant> expires_at;
     std::optional<base::instant> armed;
     bool abandoned = false;
 };
@@ -60,18 +60,18 @@
 }
 
 void deadline::set(base::instant when) {
-    core_->wanted = when;
+    core_->expires_at = when;
     if (!core_->armed.has_value() || *core_->armed > when) {
         core_->arm(when);
     }
 }
 
 void deadline::clear() {
-    core_->wanted.reset();
+    core_->expires_at.reset();
 }
 
 bool deadline::is_set() const {
-    return core_->wanted.has_value();
+    return core_->expires_at.has_value();
 }
 
 }  // namespace pearbarrow::net
--- a/src/pearbarrow/net/deadline.h
+++ b/src/pearbarrow/net/deadline.h
@@ -1,4 +1,4 @@
-/// A moment at which something is given up, moved often and reached seldom. Internal to `net`.
+/// A timeout that is extended often and expires rarely. Internal to `net`.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 /// Monotonic time of this process.
 base::instant now();
 
-/// Calls back once when the set moment passes. Moving the moment later does not touch the timer:
-/// it is armed again only when it fires too early.
+/// Runs a callback once when the deadline passes. Extending the deadline does not touch the timer:
+/// the timer is restarted only when it fires too early.
 class deadline {
   public:
     deadline(boost::asio::io_context& context, std::function<void()> on_expiry);
--- a/src/pearbarrow/net/ended_objects.h
+++ b/src/pearbarrow/net/ended_objects.h
@@ -1,4 +1,4 @@
-/// Objects that ended inside one of their own callbacks, kept until it has returned.
+/// Keeps objects that ended inside one of their own callbacks until the callback returns.
 #pragma once
 
 #include <memory>
@@ -9,8 +9,8 @@
 
 namespace pearbarrow::net {
 
-/// Frees what is added from the loop, or with itself, whichever comes first: what an object refers
-/// to must outlive this, as a member of the owner does.
+/// Frees the added objects on the event loop or in its own destructor, whichever comes first. The
+/// dependencies of the objects must outlive this container, as a member of the owner does.
 template <typename Pointer>
 class ended_objects {
   public:
@@ -23,10 +23,11 @@
         if (this->objects->size() > 1) {
             return;
         }
-        // Holds the list weakly: a loop that outlives the owner must not keep its objects.
+        // The task holds the list weakly: an event loop that outlives the owner must not keep its
+        // objects.
         this->loop.post([waiting = std::weak_ptr(this->objects)] {
             if (const auto list = waiting.lock(); list != nullptr) {
-                // Taken out first: what is freed may end others.
+                // The list is emptied first because freeing an object may end others.
                 const std::vector<Pointer> freed = std::exchange(*list, {});
             }
         });
--- a/src/pearbarrow/net/endpoint.cc
+++ b/src/pearbarrow/net/endpoint.cc
@@ -11,11 +11,12 @@
 namespace {
 
 absl::Status malformed(std::string_view text) {
-    // The text comes from outside: only a bounded part of it is repeated.
-    constexpr std::size_t shown = 80;
-    return base::make_error(absl::StatusCode::kInvalidArgument,
-                            "not an address: \"" + std::string(text.substr(0, shown)) + '"',
-                            {.step = "parse_endpoint", .reason = "malformed_endpoint"});
+    // The text is untrusted input, so the message contains only a bounded part of it.
+    constexpr std::size_t max_shown_bytes = 80;
+    return base::make_error(
+        absl::StatusCode::kInvalidArgument,
+        "not an address: \"" + std::string(text.substr(0, max_shown_bytes)) + '"',
+        {.step = "parse_endpoint", .reason = "malformed_endpoint"});
 }
 
 bool parse_port(std::string_view text, std::uint16_t& port) {
--- a/src/pearbarrow/net/endpoint.h
+++ b/src/pearbarrow/net/endpoint.h
@@ -1,4 +1,4 @@
-/// Network addresses: an IP number and a port. Host names are not resolved anywhere.
+/// Network addresses: an IP address and a port. Host names are never resolved.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 namespace pearbarrow::net {
 
 struct endpoint {
-    /// IPv4 or IPv6 number, without brackets.
+    /// IPv4 or IPv6 address without brackets.
     std::string address;
     std::uint16_t port = 0;
 
@@ -19,10 +19,10 @@
     MSGPACK_DEFINE(address, port);
 };
 
-/// Parses "127.0.0.1:8080" or "[::1]:8080". Fails with kInvalidArgument on anything else.
+/// Parses "127.0.0.1:8080" or "[::1]:8080". Fails with kInvalidArgument on any other text.
 absl::StatusOr<endpoint> parse_endpoint(std::string_view text);
 
-/// The text that `parse_endpoint` takes.
+/// Formats an endpoint as `parse_endpoint` expects it.
 std::string to_string(const endpoint& value);
 
 }  // namespace pearbarrow::net
--- a/src/pearbarrow/net/event_loop.cc
+++ b/src/pearbarrow/net/event_loop.cc
@@ -37,7 +37,7 @@
     void fire() {
         if (!repeats_) {
             cancelled_ = true;
-            // Moved out, so that what the task holds is freed when it has run.
+            // The task is moved out so that its captures are freed after it has run.
             const std::function<void()> task = std::move(task_);
             task();
             return;
@@ -72,7 +72,7 @@
 }  // namespace
 
 struct event_loop::state {
-    // One thread runs the loop; `post` from others stays safe.
+    // One thread runs the loop; `post` remains safe from other threads.
     boost::asio::io_context context{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work{
         context.get_executor()};
--- a/src/pearbarrow/net/frame_packing.h
+++ b/src/pearbarrow/net/frame_packing.h
@@ -1,4 +1,4 @@
-/// Packs frames with zstd for links whose bytes are dear. Internal to `net`.
+/// Compresses frames with zstd for cross-zone links. Internal to `net`.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,14 @@
 
 namespace pearbarrow::net {
 
-/// Frames below this length stay as they are: zstd's own head takes what it would save.
-inline constexpr std::size_t least_packed_bytes = 160;
+/// Shorter frames are not compressed because the zstd header outweighs the gain.
+inline constexpr std::size_t min_compressed_bytes = 160;
 
-/// None when packing doesn't make it shorter.
-std::optional<std::string> pack_bytes(std::string_view bytes);
+/// Returns nothing if compression does not make the data shorter.
+std::optional<std::string> compress_bytes(std::string_view bytes);
 
-/// Fails with kInvalidArgument and reason `malformed_frame`, or `frame_too_large` when it says that
-/// it holds more than `most` bytes: nothing is unpacked then.
-absl::StatusOr<std::string> unpack_bytes(std::string_view packed, std::size_t most);
+/// Fails with kInvalidArgument and reason `malformed_frame`, or `frame_too_large` if the declared
+/// size exceeds `max_bytes`. In that case nothing is decompressed.
+absl::StatusOr<std::string> decompress_bytes(std::string_view packed, std::size_t max_bytes);
 
 }  // namespace pearbarrow::net
--- a/src/pearbarrow/net/held_bytes.cc
+++ b/src/pearbarrow/net/held_bytes.cc
@@ -34,46 +34,47 @@
     if (this->options.bound == 0) {
         return true;
     }
-    const double share = bytes <= this->options.small_body ? 1.0 : this->options.admission_share;
+    const double share =
+        bytes <= this->options.small_body_bytes ? 1.0 : this->options.admission_share;
     const double most = share * static_cast<double>(this->options.bound);
     return static_cast<double>(this->total() - counted + bytes) <= most;
 }
 
 std::size_t held_bytes::share() const {
     if (this->options.bound == 0) {
-        return this->options.most_share;
+        return this->options.max_share;
     }
     const std::size_t held = this->total();
     const std::size_t free = held < this->options.bound ? this->options.bound - held : 0;
     const auto part =
         static_cast<std::size_t>(static_cast<double>(free) * this->options.free_share);
-    return std::clamp(part, this->options.least_share, this->options.most_share);
+    return std::clamp(part, this->options.min_share, this->options.max_share);
 }
 
-held_bytes::holder* held_bytes::first_to_go() const {
+held_bytes::holder* held_bytes::next_to_cut_off() const {
     const base::instant stalled_before = this->now() - this->options.stalled_after;
-    holder* found = nullptr;
+    holder* selected = nullptr;
     std::tuple<bool, std::size_t> most;
-    for (holder* one : this->holders) {
-        const std::tuple<bool, std::size_t> rank{one->progressed_at() < stalled_before,
-                                                 one->held()};
-        if (one->held() > 0 && (found == nullptr || rank > most)) {
-            found = one;
+    for (holder* owner : this->holders) {
+        const std::tuple<bool, std::size_t> rank{owner->progressed_at() < stalled_before,
+                                                 owner->held()};
+        if (owner->held() > 0 && (selected == nullptr || rank > most)) {
+            selected = owner;
             most = rank;
         }
     }
-    return found;
+    return selected;
 }
 
 void held_bytes::enforce() {
     while (this->is_over()) {
-        holder* one = this->first_to_go();
-        if (one == nullptr) {
+        holder* owner = this->next_to_cut_off();
+        if (owner == nullptr) {
             return;
         }
         ++this->cut_offs;
-        this->leave(*one);
-        one->cut_off();
+        this->leave(*owner);
+        owner->cut_off();
     }
 }
 
--- a/src/pearbarrow/net/held_bytes.h
+++ b/src/pearbarrow/net/held_bytes.h
@@ -1,9 +1,9 @@
-/// Bytes that a node holds in its memory for others: what callers, back ends and other nodes have
-/// not taken yet, and requests that are not answered yet.
+/// Accounting of the bytes that a node buffers: data that callers, back ends and other nodes have
+/// not read yet, and requests in flight.
 ///
-/// One ledger a process. What is held has a bound; beyond it whoever holds most without making
-/// progress is cut off, so that a few slow readers never cost the node its memory and everybody
-/// else their answers.
+/// A process has one instance. When the total exceeds its bound, the owner with the most buffered
+/// bytes and no progress is cut off. A few slow readers therefore cannot exhaust the memory of the
+/// node and fail the requests of other callers.
 #pragma once
 
 #include <array>
@@ -19,15 +19,15 @@
 
 namespace pearbarrow::net {
 
-/// For whom bytes are held.
+/// Kinds of buffered bytes.
 enum class holding : std::uint8_t {
-    /// Answers that callers have not taken.
+    /// Responses that callers have not read.
     answers,
-    /// Requests that back ends have not taken.
+    /// Requests that back ends have not read.
     requests,
-    /// Frames that other nodes have not taken.
+    /// Frames that other nodes have not read.
     frames,
-    /// Bodies of callers' requests, from their first byte to the end of the answer.
+    /// Bodies of requests from callers, from the first byte to the end of the response.
     bodies,
 };
 
@@ -36,68 +36,69 @@
 std::string_view to_string(holding kind);
 
 struct held_bytes_options {
-    /// Of all kinds together; 0: no bound.
+    /// Limit for all kinds together; 0 disables it.
     std::size_t bound = 0;
-    /// Part of the bound from which no further large bodies are taken in: what is under way needs
-    /// the rest to end.
+    /// Fraction of the bound above which large bodies are rejected. Requests in flight need the
+    /// rest to finish.
     double admission_share = 0.5;
-    /// A smaller body is taken in up to the bound itself: a turn's new text and a form are a few
-    /// KB, and callers that send them shall not wait for those that read slowly.
-    std::size_t small_body = std::size_t{16} * 1024;
-    /// Part of the free bytes that one holder may take, within `least_share` and `most_share`: with
-    /// a sixteenth, 200 slow readers leave a thirteenth of the bound to the others.
+    /// Bodies up to this size are admitted up to the bound itself. The new text of a turn or a form
+    /// takes a few KB, and its caller must not wait for slow readers.
+    std::size_t small_body_bytes = std::size_t{16} * 1024;
+    /// Fraction of the free bytes that one owner may use, between `min_share` and `max_share`.
+    /// With a sixteenth, 200 slow readers leave a thirteenth of the bound to the other owners.
     double free_share = 1.0 / 16;
-    std::size_t least_share = std::size_t{16} * 1024;
-    std::size_t most_share = std::size_t{1024} * 1024;
-    /// Who has taken nothing for this long counts as stalled: several round trips, and a peer's
-    /// pause of a tenth of a second when its share of a processor is spent.
+    std::size_t min_share = std::size_t{16} * 1024;
+    std::size_t max_share = std::size_t{1024} * 1024;
+    /// An owner without progress for this long is stalled. The interval covers several round trips
+    /// and the 0.1 s during which a peer does not run when its processor quota is used up.
     base::milliseconds stalled_after{500};
 };
 
 class held_bytes {
   public:
-    /// One who has bytes waiting here for the other side to take.
+    /// An object that buffers bytes until a peer reads them.
     class holder {
       public:
         virtual ~holder() = default;
         virtual std::size_t held() const = 0;
-        /// When the other side last took some.
+        /// Time at which the peer last read bytes.
         virtual base::instant progressed_at() const = 0;
-        /// Gives up the other side, and all that waits for it.
+        /// Closes the connection to the peer and discards the buffered bytes.
         virtual void cut_off() = 0;
     };
     using now_source = std::function<base::instant()>;
 
-    /// Without `now` the process's own clock counts.
+    /// A null `now` selects the monotonic clock of the process.
     explicit held_bytes(held_bytes_options options = {}, now_source now = nullptr);
     held_bytes(const held_bytes&) = delete;
     held_bytes& operator=(const held_bytes&) = delete;
 
     void add(holding kind, std::size_t bytes) { this->sums[index_of(kind)] += bytes; }
     void remove(holding kind, std::size_t bytes) { this->sums[index_of(kind)] -= bytes; }
-    /// From now on the holder may be cut off, until it leaves.
-    void join(holder& one) { this->holders.insert(&one); }
-    void leave(holder& one) { this->holders.erase(&one); }
-    /// Cuts holders off until the rest is within the bound, stalled ones first, of these the
-    /// largest. Not to be called from within a holder's own work.
+    /// Registers an owner, which may be cut off until it leaves.
+    void join(holder& owner) { this->holders.insert(&owner); }
+    void leave(holder& owner) { this->holders.erase(&owner); }
+    /// Cuts off owners until the total is within the bound: stalled owners first, and the largest
+    /// of them first. Must not be called from within an operation of an owner.
     void enforce();
 
     bool is_over() const { return this->options.bound > 0 && this->total() > this->options.bound; }
-    /// Whether a body of so many bytes, `counted` of them already, may be taken in.
+    /// Whether a body of `bytes` bytes may be admitted, of which `counted` bytes are already
+    /// included in the total.
     bool admits(std::size_t bytes, std::size_t counted = 0) const;
-    /// What one holder may hold before it does better to read no further at its source: a part of
-    /// what is free, so that a few slow readers get much and many of them never take it all
-    /// (dynamic thresholds of shared buffers).
+    /// Number of bytes that an owner may buffer before it should stop reading from its source. It
+    /// is a fraction of the free bytes, so that a few slow readers may buffer much and many of them
+    /// cannot use up the total (dynamic thresholds of shared buffers).
     std::size_t share() const;
     std::size_t total() const;
     std::size_t of(holding kind) const { return this->sums[index_of(kind)]; }
     std::size_t bound() const { return this->options.bound; }
-    /// Holders cut off so far.
+    /// Number of owners that were cut off.
     std::uint64_t cut_off_count() const { return this->cut_offs; }
 
   private:
     static std::size_t index_of(holding kind) { return static_cast<std::size_t>(kind); }
-    holder* first_to_go() const;
+    holder* next_to_cut_off() const;
 
     held_bytes_options options;
     now_source now;
@@ -106,7 +107,7 @@
     std::uint64_t cut_offs = 0;
 };
 
-/// A number of bytes that counts as held for as long as this lives.
+/// A number of bytes that is included in the accounting during the lifetime of this object.
 class held_part {
   public:
     held_part() = default;
--- a/src/pearbarrow/net/http.h
+++ b/src/pearbarrow/net/http.h
@@ -1,6 +1,6 @@
-/// HTTP/1.1 server and client over Boost.Beast, behind interfaces without Beast's types.
+/// HTTP/1.1 server and client based on Boost.Beast. The interfaces do not expose types of Beast.
 ///
-/// All callbacks run on the event loop. Header names are compared without case.
+/// All callbacks run on the event loop. Header names are compared case-insensitively.
 #pragma once
 
 #include <cstddef>
@@ -32,7 +32,7 @@
     http_headers() = default;
     http_headers(std::initializer_list<http_header> headers) : headers_(headers) {}
     void add(std::string name, std::string value);
-    /// The first value of `name`, or none.
+    /// Returns the first value of `name`, if present.
     std::optional<std::string> find(std::string_view name) const;
     const std::vector<http_header>& all() const { return headers_; }
 
@@ -42,16 +42,16 @@
 
 struct http_request {
     std::string method;
-    /// Path and query as sent, e.g. "/v1/programs?limit=5".
+    /// Path and query as received, e.g. "/v1/programs?limit=5".
     std::string target;
     http_headers headers;
     std::string body;
-    /// The client's address, for logs and errors.
+    /// Address of the client, for logs and errors.
     std::string peer;
 
-    /// The target without its query.
+    /// Returns the target without its query.
     std::string_view path() const;
-    /// The percent-decoded value of a query parameter, or none.
+    /// Returns the percent-decoded value of a query parameter, if present.
     std::optional<std::string> query(std::string_view name) const;
 };
 
@@ -61,29 +61,31 @@
     std::string body;
 };
 
-/// Server side of one request. Hold it for as long as the answer takes; dropping it unanswered
-/// answers 500. After the client has gone all calls are ignored.
+/// Server side of one request. The handler keeps the object until the response is complete;
+/// destroying it before a response sends status 500. All calls are ignored after the client
+/// disconnects.
 class http_exchange {
   public:
     virtual ~http_exchange() = default;
     virtual const http_request& request() const = 0;
-    /// Sends a whole answer. Ends the exchange.
+    /// Sends a whole response and ends the exchange.
     virtual void respond(http_response response) = 0;
-    /// Starts a chunked answer, e.g. server-sent events.
+    /// Starts a chunked response, e.g. server-sent events.
     virtual void start_stream(int status, http_headers headers) = 0;
-    /// Queues a part of a chunked answer.
+    /// Queues a chunk of the response.
     virtual void write(std::string chunk) = 0;
-    /// Ends a chunked answer.
+    /// Ends a chunked response.
     virtual void finish() = 0;
-    /// Breaks the connection, so that the client sees that the answer is not whole.
+    /// Closes the connection abruptly, so that the client detects an incomplete response.
     virtual void abort() = 0;
-    /// Bytes queued and not yet taken by the kernel: the measure of a slow reader.
+    /// Number of queued bytes that the kernel has not accepted yet. A large value indicates a slow
+    /// reader.
     virtual std::size_t pending_bytes() const = 0;
-    /// `callback` runs once when the client goes away before the answer is complete.
+    /// Sets a callback that runs once if the client disconnects before the response is complete.
     virtual void on_closed(std::function<void()> callback) = 0;
-    /// `callback` runs each time the client has taken some of what is queued.
+    /// Sets a callback that runs each time the client reads queued bytes.
     virtual void on_progress(std::function<void()> /*callback*/) {}
-    /// Once the client has gone: the reason of the connection's loss, e.g. `slow_reader`.
+    /// After a disconnect: the reason for it, e.g. `slow_reader`.
     virtual std::string lost_reason() const { return {}; }
 };
 
@@ -94,119 +96,123 @@
     std::size_t max_header_bytes = std::size_t{16} * 1024;
     std::size_t max_body_bytes = std::size_t{8} * 1024 * 1024;
     std::size_t max_connections = 4096;
-    /// Bytes of requests that are not whole yet, of all connections together; a request beyond
-    /// them gets 503.
+    /// Limit for the bytes of incomplete requests on all connections. A request that exceeds it
+    /// gets status 503.
     std::size_t max_receiving_bytes = std::size_t{256} * 1024 * 1024;
-    /// A connection on which no whole request arrives within this time is closed.
+    /// A connection without a complete request within this time is closed.
     base::milliseconds request_timeout{30'000};
-    /// A client that takes none of its answer for this long is cut off.
+    /// A client that reads nothing of its response for this long is disconnected.
     base::milliseconds write_timeout{30'000};
-    /// Bytes queued for one client above which it is cut off.
+    /// A client with more queued bytes is disconnected.
     std::size_t max_pending_bytes = std::size_t{16} * 1024 * 1024;
-    /// Counts what is held for the clients, and admits bodies; null: nobody does.
+    /// Counts the bytes buffered for clients and admits request bodies; null disables both.
     std::shared_ptr<held_bytes> held = nullptr;
     std::optional<tls_files> tls;
 };
 
-/// Accepts connections and hands each well-formed request to the handler. Malformed requests get
-/// 400, oversized headers 431, oversized bodies 413, each as `application/problem+json`, and never
-/// reach the handler.
+/// Accepts connections and passes each well-formed request to the handler. Malformed requests get
+/// status 400, oversized headers 431 and oversized bodies 413, each with an
+/// `application/problem+json` body. They never reach the handler.
 class http_server {
   public:
     virtual ~http_server() = default;
-    /// Opens the listener. Fails with the address as peer when it cannot be bound.
+    /// Starts to listen. Fails with the address as the peer if it cannot be bound.
     virtual absl::Status start() = 0;
-    /// The port in use; differs from the option's when that is 0.
+    /// The bound address. Its port differs from the option if the option is 0.
     virtual endpoint local_endpoint() const = 0;
-    /// Each connection ends after its next answer; new ones are still taken.
+    /// Closes each connection after its next response. New connections are still accepted.
     virtual void begin_closing() = 0;
-    /// Takes no new connections; answers already begun go on, idle connections close.
+    /// Accepts no new connections and closes idle ones. Responses in progress continue.
     virtual void stop_accepting() = 0;
-    /// Bounds that the next requests are held to.
+    /// Sets the limits for subsequent requests.
     virtual void set_limits(std::size_t max_header_bytes, std::size_t max_body_bytes,
                             base::milliseconds request_timeout) = 0;
     virtual std::size_t open_exchanges() const = 0;
-    /// Reads the key files again; connections already open keep their keys.
+    /// Reloads the key files. Open connections keep their keys.
     virtual absl::Status reload_tls() = 0;
 };
 
 std::unique_ptr<http_server> make_http_server(event_loop& loop, http_server_options options,
                                               http_handler handler);
 
-/// Reason in the details of a call's error: `http_call::may_send` has said no.
+/// Reason in the error details of a call that `http_call::may_send` rejected.
 inline constexpr std::string_view withdrawn_reason = "withdrawn";
 
-/// What a client request asks for.
+/// A request of the client.
 struct http_call {
     endpoint server;
-    /// Tells processes apart that follow each other at one address: a kept connection is used again
-    /// only by calls of the same number.
+    /// Distinguishes successive processes at one address. An idle connection is reused only by
+    /// calls with the same value.
     std::uint64_t server_run = 0;
     std::string method;
     std::string target;
     http_headers headers;
     std::string body;
-    /// Longest time for a new connection to come up. Zero: that of `head_timeout`.
+    /// Timeout for opening a connection. Zero selects `head_timeout`.
     base::milliseconds connect_timeout{0};
-    /// Whether a GET that a reused connection lost before any byte of its answer is sent again.
+    /// Whether a GET is sent again if a reused connection fails before the first byte of the
+    /// response.
     bool resend_when_stale = true;
-    /// Longest time to the response's head. Zero: no limit.
+    /// Timeout for the head of the response. Zero disables it.
     base::milliseconds head_timeout{10'000};
-    /// Longest time between two parts of the body. Zero: no limit.
+    /// Timeout between two chunks of the body. Zero disables it.
     base::milliseconds idle_timeout{30'000};
     std::size_t max_body_bytes = std::size_t{64} * 1024 * 1024;
-    /// Asked each time just before the request goes out on a connection; false: it doesn't, and the
-    /// call ends with reason `withdrawn`. Empty: always.
+    /// Called each time just before the request is sent on a connection. If it returns false, the
+    /// request is not sent and the call ends with reason `withdrawn`. An empty function allows
+    /// every send.
     std::function<bool()> may_send = nullptr;
 };
 
-/// Receives a streamed response. Any function may be empty.
+/// Callbacks of a streamed response. Any function may be empty.
 struct http_call_callbacks {
     std::function<void(int status, const http_headers& headers)> on_head;
     std::function<void(std::string_view chunk)> on_chunk;
-    /// Runs exactly once, unless cancelled: ok when the whole body has arrived.
-    /// An error's details say whether the request may have reached the server:
-    /// `executed::no` only when not one byte of it was sent.
+    /// Runs exactly once, unless the call is cancelled; the status is ok when the whole body has
+    /// arrived. The details of an error state whether the request may have reached the server: they
+    /// contain `executed::no` only if no byte of the request was sent.
     std::function<void(absl::Status)> on_done;
-    /// A connection was opened for the call and has come up, so long after it was begun.
+    /// Runs when a connection that was opened for the call is established, with the time since the
+    /// attempt started.
     std::function<void(base::microseconds took)> on_connected = nullptr;
 };
 
-/// A request under way. Destroying it, or calling `cancel`, closes it without further callbacks.
+/// A call in flight. Destroying the handle or calling `cancel` closes the call without further
+/// callbacks.
 class http_call_handle {
   public:
     virtual ~http_call_handle() = default;
     virtual void cancel() = 0;
-    /// Reads nothing more of the answer until `resume`; its idle time does not count meanwhile.
+    /// Stops reading the response until `resume`. The idle timeout is suspended meanwhile.
     virtual void pause() {}
     virtual void resume() {}
 };
 
-/// Sends requests, keeping idle connections open for reuse, shorter where a server's `Keep-Alive`
-/// says so. A request that a reused connection refused before any byte of the answer is sent again
-/// on a new connection only when its method is GET and `resend_when_stale` allows it; everything
-/// else is reported, never repeated.
+/// Sends requests and keeps idle connections in a pool, for a shorter time if the `Keep-Alive`
+/// header of a server says so. A request that fails on a reused connection before the first byte of
+/// the response is retried on a new connection only if its method is GET and `resend_when_stale` is
+/// set. Every other failure is reported without a retry.
 class http_client {
   public:
     virtual ~http_client() = default;
     [[nodiscard]] virtual std::unique_ptr<http_call_handle> start(
         http_call call, http_call_callbacks callbacks) = 0;
-    /// Collects the whole response. The callback runs once, also without a handle kept.
+    /// Collects the whole response. The callback runs once; there is no handle to keep.
     virtual void fetch(http_call call,
                        std::function<void(absl::StatusOr<http_response>)> callback) = 0;
-    /// Reads the key files again; connections already open keep their keys until they end, and
-    /// idle ones are closed.
+    /// Reloads the key files. Open connections keep their keys until they end; idle connections are
+    /// closed.
     virtual absl::Status reload_tls() = 0;
 };
 
 struct http_client_options {
     std::size_t max_idle_connections_per_server = 64;
-    /// An idle connection older than this is not used again; kept under the servers' own limit,
-    /// so that a request seldom meets a connection that its server is closing.
+    /// An idle connection older than this is not reused. The value is below the limits of the
+    /// servers, so that a request seldom uses a connection that its server is closing.
     base::milliseconds idle_lifetime{10'000};
-    /// Counts what servers have not taken of their requests; null: nobody does.
+    /// Counts the request bytes that servers have not read; null disables the accounting.
     std::shared_ptr<held_bytes> held = nullptr;
-    /// Servers are then spoken to over TLS, and their certificate must name their IP number.
+    /// Enables TLS. The certificate of a server must contain its IP address.
     std::optional<tls_files> tls;
 };
 
--- a/src/pearbarrow/net/http_call_core.cc
+++ b/src/pearbarrow/net/http_call_core.cc
@@ -19,7 +19,7 @@
     : core_(std::move(core)),
       call_(std::move(call)),
       callbacks_(std::move(callbacks)),
-      deadline_(core_->context, [this] { overdue(); }) {}
+      deadline_(core_->context, [this] { on_timeout(); }) {}
 
 void http_call_core::start() {
     if (done_) {
@@ -47,29 +47,30 @@
     }
     const connection_options limits{.read_buffer_bytes = client_read_bytes,
                                     .held = core_->options.held,
-                                    .held_as = holding::requests};
+                                    .buffer_kind = holding::requests};
     link_ = std::make_shared<connection>(core_->context, connection::tcp::socket(core_->context),
                                          core_->tls, limits);
-    const auto began = std::chrono::steady_clock::now();
-    link_->connect(call_.server, [self = shared_from_this(), began](const absl::Status& status) {
-        if (self->done_) {
-            return;
-        }
-        if (!status.ok()) {
-            self->end(status);
-            return;
-        }
-        if (self->callbacks_.on_connected) {
-            self->callbacks_.on_connected(std::chrono::duration_cast<base::microseconds>(
-                std::chrono::steady_clock::now() - began));
-        }
-        self->send(self->link_);
-    });
+    const auto started_at = std::chrono::steady_clock::now();
+    link_->connect(
+        call_.server, [self = shared_from_this(), started_at](const absl::Status& status) {
+            if (self->done_) {
+                return;
+            }
+            if (!status.ok()) {
+                self->end(status);
+                return;
+            }
+            if (self->callbacks_.on_connected) {
+                self->callbacks_.on_connected(std::chrono::duration_cast<base::microseconds>(
+                    std::chrono::steady_clock::now() - started_at));
+            }
+            self->send(self->link_);
+        });
 }
 
-void http_call_core::expect_response() {
+void http_call_core::start_response() {
     reader_ = std::make_unique<http_response_reader>(
-        http_response_reader::options{.answers_head_request = call_.method == "HEAD",
+        http_response_reader::options{.for_head_request = call_.method == "HEAD",
                                       .max_body_bytes = call_.max_body_bytes,
                                       .on_body = [this](std::string_view part) {
                                           if (!done_ && callbacks_.on_chunk) {
@@ -105,10 +106,10 @@
     } else {
         deadline_.clear();
     }
-    expect_response();
+    start_response();
     request_position_ = link_->queued_position();
     link_->write(format_request_head(call_));
-    // Kept for a second try only where there may be one.
+    // The request is kept for a retry only if a retry is possible.
     link_->write(was_idle_ && call_.method == "GET" && call_.resend_when_stale
                      ? call_.body
                      : std::move(call_.body));
@@ -129,7 +130,7 @@
 void http_call_core::read_response() {
     const auto self = shared_from_this();
     while (!done_) {
-        // The reader stays alive when a callback cancels the call.
+        // The reader stays alive if a callback cancels the call.
         switch (reader_->feed(inbox_)) {
             case read_progress::need_more:
                 return;
@@ -141,8 +142,8 @@
                     complete();
                     return;
                 }
-                // "100 Continue" or "103 Early Hints": the answer itself follows.
-                expect_response();
+                // "100 Continue" or "103 Early Hints": the final response follows.
+                start_response();
                 break;
             case read_progress::failed:
                 if (reader_->body_too_large()) {
@@ -174,7 +175,8 @@
 }
 
 void http_call_core::complete() {
-    // What was paused in its last part is whole: the next call reads on.
+    // The response is complete even if the call was paused during its last part. The next call must
+    // be able to read from the connection.
     resume();
     if (reader_->keep_alive() && inbox_.empty() && link_->is_open()) {
         core_->keep_idle({call_.server, call_.server_run}, link_, reader_->idle_lifetime());
@@ -192,7 +194,7 @@
         end(absl::OkStatus());
         return;
     }
-    if (send_again()) {
+    if (retry_request()) {
         return;
     }
     fail(absl::StatusCode::kUnavailable,
@@ -201,7 +203,7 @@
          "read", "connection_lost");
 }
 
-bool http_call_core::send_again() {
+bool http_call_core::retry_request() {
     if (!was_idle_ || reader_->has_begun() || call_.method != "GET" || !call_.resend_when_stale) {
         return false;
     }
@@ -213,7 +215,7 @@
     return link_ != nullptr && reader_ != nullptr && link_->may_have_sent(request_position_);
 }
 
-void http_call_core::overdue() {
+void http_call_core::on_timeout() {
     fail(absl::StatusCode::kDeadlineExceeded,
          head_seen_ ? "the answer stopped coming" : "no answer in time",
          reader_ == nullptr ? "connect" : "read",
@@ -270,7 +272,8 @@
     }
     const auto self = shared_from_this();
     core_->calls.erase(self);
-    // What the callbacks hold is freed from the loop: one of them may be running now.
+    // The captures of the callbacks are freed from the event loop because one of the callbacks may
+    // be running.
     boost::asio::post(core_->context, [self] { self->callbacks_ = {}; });
 }
 
--- a/src/pearbarrow/net/http_call_core.h
+++ b/src/pearbarrow/net/http_call_core.h
@@ -1,4 +1,4 @@
-/// One client request from its start to its end, and the idle connections. Internal to `net`.
+/// A client request and the pool of idle connections. Internal to `net`.
 #pragma once
 
 #include <list>
@@ -18,7 +18,7 @@
 class http_call_core;
 class idle_connection;
 
-/// A process at an address, as `http_call` names it.
+/// A process at an address, as identified by `http_call`.
 struct server_process {
     endpoint address;
     std::uint64_t run = 0;
@@ -28,31 +28,31 @@
     }
 };
 
-/// What the calls of one client share.
+/// State shared by the calls of one client.
 struct http_client_core : std::enable_shared_from_this<http_client_core> {
     http_client_core(boost::asio::io_context& io_context, http_client_options client_options)
         : context(io_context), options(std::move(client_options)) {}
 
-    /// An idle connection, or null.
+    /// Removes an idle connection from the pool and returns it, or null if there is none.
     std::shared_ptr<connection> take_idle(const server_process& server);
-    /// `told` is what the server said of the connection's lifetime, if it did.
+    /// `server_lifetime` is the idle lifetime announced by the server, if any.
     void keep_idle(const server_process& server, const std::shared_ptr<connection>& link,
-                   std::optional<base::milliseconds> told);
-    void forget_idle(const server_process& server, const idle_connection* idle);
+                   std::optional<base::milliseconds> server_lifetime);
+    void remove_idle(const server_process& server, const idle_connection* idle);
     void close_idle();
     void shut_down();
 
     boost::asio::io_context& context;
     http_client_options options;
     std::shared_ptr<tls_context> tls;
-    /// Why TLS cannot be used, when its files were unusable.
+    /// The error that prevents TLS if its files are unusable.
     absl::Status tls_status;
     std::map<server_process, std::list<std::shared_ptr<idle_connection>>> idle;
     std::set<std::shared_ptr<http_call_core>> calls;
     bool stopped = false;
 };
 
-/// Watches a connection that waits to be used again.
+/// Monitors a connection in the pool.
 class idle_connection final : public connection_user,
                               public std::enable_shared_from_this<idle_connection> {
   public:
@@ -60,13 +60,13 @@
                     server_process server, std::shared_ptr<connection> link);
 
     void start(base::milliseconds lifetime);
-    /// Bytes that nobody asked for: the connection is of no further use.
+    /// Closes the connection because unsolicited bytes make it unusable.
     void on_data(std::string_view bytes) override;
     void on_lost(const absl::Status& status) override;
     const std::shared_ptr<connection>& link() const { return link_; }
 
   private:
-    void leave();
+    void remove_from_pool();
 
     std::weak_ptr<http_client_core> core_;
     server_process server_;
@@ -90,14 +90,14 @@
   private:
     void connect();
     void send(std::shared_ptr<connection> link);
-    /// Whether the caller does not want it sent any more; the call has then ended.
+    /// Whether the caller withdrew the request; the call has then ended.
     bool is_withdrawn(const std::shared_ptr<connection>& link);
-    void expect_response();
+    void start_response();
     void read_response();
     void on_head();
     void complete();
-    bool send_again();
-    void overdue();
+    bool retry_request();
+    void on_timeout();
     void fail(absl::StatusCode code, std::string_view message, std::string step,
               std::string reason);
     void end(const absl::Status& status);
@@ -112,7 +112,7 @@
     std::string inbox_;
     std::uint64_t request_position_ = 0;
     bool was_idle_ = false;
-    /// It has gone out on some connection, maybe on one that broke.
+    /// Whether the request was sent on any connection, including one that broke.
     bool was_sent_ = false;
     bool head_seen_ = false;
     bool paused_ = false;
--- a/src/pearbarrow/net/http_client.cc
+++ b/src/pearbarrow/net/http_client.cc
@@ -6,8 +6,8 @@
 namespace pearbarrow::net {
 namespace {
 
-/// How long before the time that a server tells its connection is no longer used: a request sent
-/// while the server closes would have an unknown end.
+/// Margin before the lifetime announced by the server during which a connection is no longer used.
+/// The outcome of a request sent while the server closes would be unknown.
 constexpr base::milliseconds keep_alive_margin{700};
 
 }  // namespace
@@ -19,7 +19,7 @@
     }
     std::shared_ptr<connection> link;
     while (link == nullptr && !found->second.empty()) {
-        // The newest first: the oldest may be about to be closed by the server.
+        // The newest connection comes first because the server may be about to close the oldest.
         auto candidate = found->second.back()->link();
         found->second.pop_back();
         if (candidate->is_open()) {
@@ -34,10 +34,10 @@
 
 void http_client_core::keep_idle(const server_process& server,
                                  const std::shared_ptr<connection>& link,
-                                 std::optional<base::milliseconds> told) {
+                                 std::optional<base::milliseconds> server_lifetime) {
     base::milliseconds lifetime = options.idle_lifetime;
-    if (told.has_value()) {
-        lifetime = std::min(lifetime, *told - keep_alive_margin);
+    if (server_lifetime.has_value()) {
+        lifetime = std::min(lifetime, *server_lifetime - keep_alive_margin);
     }
     if (stopped || lifetime.count() <= 0) {
         link->close();
@@ -53,7 +53,7 @@
     entry->start(lifetime);
 }
 
-void http_client_core::forget_idle(const server_process& server, const idle_connection* entry) {
+void http_client_core::remove_idle(const server_process& server, const idle_connection* entry) {
     const auto found = idle.find(server);
     if (found == idle.end()) {
         return;
@@ -88,7 +88,7 @@
     : core_(std::move(core)),
       server_(std::move(server)),
       link_(std::move(link)),
-      expiry_(context, [this] { leave(); }) {}
+      expiry_(context, [this] { remove_from_pool(); }) {}
 
 void idle_connection::start(base::milliseconds lifetime) {
     expiry_.set_after(lifetime);
@@ -96,18 +96,18 @@
 }
 
 void idle_connection::on_data(std::string_view /*bytes*/) {
-    leave();
+    remove_from_pool();
 }
 
 void idle_connection::on_lost(const absl::Status& /*status*/) {
-    leave();
+    remove_from_pool();
 }
 
-void idle_connection::leave() {
+void idle_connection::remove_from_pool() {
     const auto self = shared_from_this();
     link_->close();
     if (const auto core = core_.lock(); core != nullptr) {
-        core->forget_idle(server_, this);
+        core->remove_idle(server_, this);
     }
 }
 
@@ -196,7 +196,7 @@
     std::shared_ptr<http_call_core> begin(http_call call, http_call_callbacks callbacks) {
         auto core = std::make_shared<http_call_core>(core_, std::move(call), std::move(callbacks));
         core_->calls.insert(core);
-        // From the loop, so that no callback runs inside this call.
+        // Posted to the event loop so that no callback runs inside this call.
         loop_.post([core] { core->start(); });
         return core;
     }
--- a/src/pearbarrow/net/http_codec.cc
+++ b/src/pearbarrow/net/http_codec.cc
@@ -40,17 +40,18 @@
     serializer.split(true);
     error_code error;
     while (!serializer.is_header_done() && !error) {
-        std::size_t taken = 0;
+        std::size_t consumed = 0;
         serializer.next(error, [&](error_code& /*error*/, const auto& buffers) {
             append_buffers(out, buffers);
-            taken = boost::asio::buffer_size(buffers);
+            consumed = boost::asio::buffer_size(buffers);
         });
-        serializer.consume(taken);
+        serializer.consume(consumed);
     }
     return out;
 }
 
-/// A value that could break out of its line is not sent.
+/// Whether the header contains no line break or null byte, which could inject further lines. Other
+/// headers are not sent.
 bool is_safe_header(const http_header& header) {
     const auto breaks = [](const std::string& text) {
         return text.find_first_of(std::string_view("\r\n\0", 3)) != std::string::npos;
@@ -72,7 +73,7 @@
 struct http_request_reader::state {
     http::request_parser<http::string_body> parser;
     error_code error;
-    bool begun = false;
+    bool has_input = false;
     bool head_reported = false;
 };
 
@@ -86,15 +87,15 @@
 
 read_progress http_request_reader::feed(std::string& buffer) {
     auto& parser = state_->parser;
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     read_progress progress = read_progress::need_more;
-    while (taken < buffer.size() || parser.is_done()) {
+    while (consumed < buffer.size() || parser.is_done()) {
         if (parser.is_done()) {
             progress = read_progress::complete;
             break;
         }
-        state_->begun = true;
-        taken += parser.put(boost::asio::buffer(buffer) + taken, state_->error);
+        state_->has_input = true;
+        consumed += parser.put(boost::asio::buffer(buffer) + consumed, state_->error);
         if (state_->error == http::error::need_more) {
             state_->error = {};
             break;
@@ -109,7 +110,7 @@
             break;
         }
     }
-    buffer.erase(0, taken);
+    buffer.erase(0, consumed);
     return progress;
 }
 
@@ -132,7 +133,7 @@
 }
 
 bool http_request_reader::has_begun() const {
-    return state_->begun;
+    return state_->has_input;
 }
 
 std::size_t http_request_reader::content_length() const {
@@ -147,7 +148,7 @@
     return state_->parser.keep_alive();
 }
 
-bool http_request_reader::can_take_chunks() const {
+bool http_request_reader::supports_chunks() const {
     return state_->parser.get().version() >= 11;
 }
 
--- a/src/pearbarrow/net/http_codec.h
+++ b/src/pearbarrow/net/http_codec.h
@@ -1,5 +1,5 @@
-/// The shape of HTTP/1.1 messages, by Boost.Beast. Internal to `net`: the Beast headers stay in
-/// http_codec.cc and http_response_reader.cc.
+/// Encoding and decoding of HTTP/1.1 messages with Boost.Beast. Internal to `net`: only
+/// http_codec.cc and http_response_reader.cc include the headers of Beast.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 
 namespace pearbarrow::net {
 
-/// Outcome of feeding bytes to a reader.
+/// Result of feeding bytes to a reader.
 enum class read_progress { need_more, head_complete, complete, failed };
 
-/// Reads one request. Only the bytes of that request are taken from the buffer.
+/// Parses one request. Consumes only the bytes of that request from the buffer.
 class http_request_reader {
   public:
     http_request_reader(std::size_t max_header_bytes, std::size_t max_body_bytes);
@@ -26,19 +26,19 @@
     http_request_reader(const http_request_reader&) = delete;
     http_request_reader& operator=(const http_request_reader&) = delete;
 
-    /// Consumes from the front of `buffer`. Stops once at `head_complete`.
+    /// Consumes bytes from the front of `buffer`. Returns `head_complete` once.
     read_progress feed(std::string& buffer);
-    /// Status with which to refuse after `failed`: 400, 413 or 431.
+    /// Status of the response after `failed`: 400, 413 or 431.
     int refusal() const;
     std::string refusal_reason() const;
     bool has_begun() const;
     bool expects_continue() const;
-    /// Of the body, as the head tells it; 0 where it does not.
+    /// Content length given by the head, or 0.
     std::size_t content_length() const;
     bool keep_alive() const;
-    /// False for HTTP/1.0, which does not know chunks.
-    bool can_take_chunks() const;
-    /// The request, after `complete`.
+    /// False for HTTP/1.0, which does not support chunked responses.
+    bool supports_chunks() const;
+    /// Returns the request after `complete`.
     http_request release();
 
   private:
@@ -46,11 +46,11 @@
     std::unique_ptr<state> state_;
 };
 
-/// Reads one response, handing the body on as it comes.
+/// Parses one response and passes the body on as it arrives.
 class http_response_reader {
   public:
     struct options {
-        bool answers_head_request = false;
+        bool for_head_request = false;
         std::size_t max_body_bytes = 0;
         std::function<void(std::string_view)> on_body;
     };
@@ -60,9 +60,10 @@
     http_response_reader(const http_response_reader&) = delete;
     http_response_reader& operator=(const http_response_reader&) = delete;
 
-    /// Consumes from the front of `bytes`. Stops once at `head_complete`.
+    /// Consumes bytes from the front of `buffer`. Returns `head_complete` once.
     read_progress feed(std::string& buffer);
-    /// The server closed: complete when the body ends with the connection.
+    /// Handles the end of the connection: the response is complete if its body extends to the end
+    /// of the connection.
     read_progress end();
     bool has_begun() const;
     bool body_too_large() const;
@@ -70,7 +71,7 @@
     int status() const;
     http_headers headers() const;
     bool keep_alive() const;
-    /// How long the server keeps the idle connection, by `Keep-Alive: timeout=SECONDS`.
+    /// Idle lifetime of the connection according to `Keep-Alive: timeout=SECONDS`.
     std::optional<base::milliseconds> idle_lifetime() const;
 
   private:
@@ -78,7 +79,7 @@
     std::unique_ptr<state> state_;
 };
 
-/// How the answer's body is framed.
+/// Framing of the response body.
 enum class body_framing { length, chunks, until_close };
 
 struct response_head {
@@ -90,13 +91,13 @@
 };
 
 std::string format_response_head(const response_head& head);
-/// One chunk of a chunked body; `data` is not empty.
+/// Formats one chunk of a chunked body. `data` must not be empty.
 std::string format_chunk(std::string_view data);
 std::string_view last_chunk();
-/// The request's head. `Host` and `Content-Length` are added.
+/// Formats the head of a request, including `Host` and `Content-Length`.
 std::string format_request_head(const http_call& call);
 
-/// An answer of type `application/problem+json`.
+/// Creates a response of type `application/problem+json`.
 http_response problem_response(int status, std::string_view reason, std::string_view detail);
 
 }  // namespace pearbarrow::net
--- a/src/pearbarrow/net/http_exchange.cc
+++ b/src/pearbarrow/net/http_exchange.cc
@@ -50,7 +50,7 @@
         return;
     }
     stage_ = stage::streaming;
-    framing_ = session->can_take_chunks() ? body_framing::chunks : body_framing::until_close;
+    framing_ = session->supports_chunks() ? body_framing::chunks : body_framing::until_close;
     session->send(format_response_head(
         {.status = status,
          .headers = &headers,
@@ -85,12 +85,12 @@
     if (stage_ == stage::done) {
         return;
     }
-    // Whoever aborts needs no word that the connection is closed.
+    // The caller of `abort` needs no notification that the connection is closed.
     on_closed_ = nullptr;
     if (session != nullptr) {
         session->close();
     }
-    client_gone();
+    on_client_closed();
 }
 
 std::size_t session_exchange::pending_bytes() const {
@@ -110,8 +110,8 @@
     }
 }
 
-void session_exchange::progressed() {
-    // A copy: the callback may end the answer.
+void session_exchange::on_client_progress() {
+    // The copy is needed because the callback may end the response.
     if (const auto callback = on_progress_; callback) {
         callback();
     }
@@ -123,11 +123,11 @@
     on_progress_ = nullptr;
     --core_->open_exchanges;
     if (const auto session = session_.lock(); session != nullptr) {
-        session->answer_complete();
+        session->on_response_complete();
     }
 }
 
-void session_exchange::client_gone() {
+void session_exchange::on_client_closed() {
     if (stage_ == stage::done) {
         return;
     }
--- a/src/pearbarrow/net/http_exchange.h
+++ b/src/pearbarrow/net/http_exchange.h
@@ -1,4 +1,4 @@
-/// The server's side of one request on a session. Internal to `net`.
+/// Server side of one request in a session. Internal to `net`.
 #pragma once
 
 #include <functional>
@@ -28,10 +28,10 @@
     void on_progress(std::function<void()> callback) override;
     std::string lost_reason() const override { return lost_reason_; }
 
-    /// The session's word that nobody waits for the answer any more.
-    void client_gone();
-    /// The session's word that the client has taken some of the answer.
-    void progressed();
+    /// Called by the session when the client has disconnected.
+    void on_client_closed();
+    /// Called by the session when the client has read some of the response.
+    void on_client_progress();
 
   private:
     enum class stage { waiting, streaming, done };
--- a/src/pearbarrow/net/http_headers.cc
+++ b/src/pearbarrow/net/http_headers.cc
@@ -18,7 +18,7 @@
     return lower >= 'a' && lower <= 'f' ? lower - 'a' + 10 : -1;
 }
 
-/// Percent-decoding of a query part; a stray "%" stays as it is.
+/// Percent-decodes a part of the query. A "%" without two hexadecimal digits stays unchanged.
 std::string decode_query_part(std::string_view text) {
     std::string out;
     out.reserve(text.size());
--- a/src/pearbarrow/net/http_response_reader.cc
+++ b/src/pearbarrow/net/http_response_reader.cc
@@ -17,7 +17,7 @@
 
 constexpr std::uint32_t max_response_header_bytes = 64 * 1024;
 
-/// A Beast body that passes each part on instead of keeping it. Beast sets the names.
+/// A Beast body type that passes data on instead of storing it. Beast prescribes the names.
 struct forwarded_body {
     using value_type = std::function<void(std::string_view)>;
 
@@ -58,7 +58,7 @@
 struct http_response_reader::state {
     http::response_parser<forwarded_body> parser;
     error_code error;
-    bool begun = false;
+    bool has_input = false;
     bool head_reported = false;
 };
 
@@ -66,7 +66,7 @@
     auto& parser = state_->parser;
     parser.header_limit(max_response_header_bytes);
     parser.body_limit(options.max_body_bytes);
-    parser.skip(options.answers_head_request);
+    parser.skip(options.for_head_request);
     parser.get().body() = std::move(options.on_body);
 }
 
@@ -74,15 +74,15 @@
 
 read_progress http_response_reader::feed(std::string& buffer) {
     auto& parser = state_->parser;
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     read_progress progress = read_progress::need_more;
-    while (taken < buffer.size() || parser.is_done()) {
+    while (consumed < buffer.size() || parser.is_done()) {
         if (parser.is_done()) {
             progress = read_progress::complete;
             break;
         }
-        state_->begun = true;
-        taken += parser.put(boost::asio::buffer(buffer) + taken, state_->error);
+        state_->has_input = true;
+        consumed += parser.put(boost::asio::buffer(buffer) + consumed, state_->error);
         if (state_->error == http::error::need_more) {
             state_->error = {};
             break;
@@ -97,7 +97,7 @@
             break;
         }
     }
-    buffer.erase(0, taken);
+    buffer.erase(0, consumed);
     return progress;
 }
 
@@ -110,7 +110,7 @@
 }
 
 bool http_response_reader::has_begun() const {
-    return state_->begun;
+    return state_->has_input;
 }
 
 bool http_response_reader::body_too_large() const {
--- a/src/pearbarrow/net/http_server.cc
+++ b/src/pearbarrow/net/http_server.cc
@@ -9,8 +9,9 @@
 namespace pearbarrow::net {
 namespace {
 
-/// Connections beyond the limit that are still told so; more are closed without a word.
-constexpr std::size_t refused_connections_answered = 64;
+/// Limit for the excess connections that get a response. Further connections are closed without
+/// one.
+constexpr std::size_t max_rejections_with_response = 64;
 
 class asio_http_server final : public http_server {
   public:
@@ -70,13 +71,13 @@
     void accept(boost::asio::ip::tcp::socket socket) {
         const std::size_t open = core_->sessions.size();
         const std::size_t limit = core_->options.max_connections;
-        if (open >= limit + refused_connections_answered) {
+        if (open >= limit + max_rejections_with_response) {
             return;
         }
         const connection_options limits{.max_pending_bytes = core_->options.max_pending_bytes,
                                         .write_timeout = core_->options.write_timeout,
                                         .held = core_->options.held,
-                                        .held_as = holding::answers};
+                                        .buffer_kind = holding::answers};
         auto link = std::make_shared<connection>(context_, std::move(socket), tls_, limits);
         auto session = std::make_shared<http_session>(context_, core_, std::move(link));
         core_->sessions.insert(session);
--- a/src/pearbarrow/net/http_session.cc
+++ b/src/pearbarrow/net/http_session.cc
@@ -8,9 +8,11 @@
 namespace pearbarrow::net {
 namespace {
 
-/// Bytes of a next request kept while one is answered; beyond it reading stops.
+/// Limit for the bytes of a pipelined request that are buffered during a response. Reading stops
+/// above it.
 constexpr std::size_t max_inbox_bytes = std::size_t{64} * 1024;
-/// Told with 503, in seconds: callers that read slowly are ended within about a second.
+/// Value of `Retry-After` with status 503, in seconds. Slow readers are disconnected within about a
+/// second.
 constexpr char refused_retry_after[] = "0.500";
 
 }  // namespace
@@ -36,15 +38,15 @@
                            std::shared_ptr<connection> link)
     : core_(std::move(core)),
       link_(std::move(link)),
-      arriving_(core_->options.held, holding::bodies),
-      request_deadline_(context, [this] { request_overdue(); }) {}
+      buffered_request_(core_->options.held, holding::bodies),
+      request_deadline_(context, [this] { on_request_timeout(); }) {}
 
-void http_session::start(bool overloaded) {
-    overloaded_ = overloaded;
+void http_session::start(bool is_overloaded) {
+    overloaded_ = is_overloaded;
     request_deadline_.set_after(core_->options.request_timeout);
     link_->accept([self = shared_from_this()](const absl::Status& status) {
         if (!status.ok()) {
-            self->leave_server();
+            self->unregister();
             return;
         }
         self->reader_ = std::make_unique<http_request_reader>(self->core_->options.max_header_bytes,
@@ -57,9 +59,9 @@
     inbox_.append(bytes);
     received_bytes_ += bytes.size();
     core_->receiving_bytes += bytes.size();
-    arriving_.add(bytes.size());
-    if (!answering_) {
-        if (!has_room()) {
+    buffered_request_.add(bytes.size());
+    if (!responding_) {
+        if (!is_within_memory_limits()) {
             refuse(503, "too_many_requests_arriving",
                    "the server holds as many bytes of incomplete requests as it takes");
             return;
@@ -70,11 +72,11 @@
     }
 }
 
-/// Whether what has arrived of this request may be kept.
-bool http_session::has_room() const {
+/// Whether the bytes received for this request are within the memory limits.
+bool http_session::is_within_memory_limits() const {
     const std::shared_ptr<held_bytes>& held = core_->options.held;
     return core_->receiving_bytes <= core_->options.max_receiving_bytes &&
-           (held == nullptr || held->admits(arriving_.size(), arriving_.size()));
+           (held == nullptr || held->admits(buffered_request_.size(), buffered_request_.size()));
 }
 
 void http_session::read_request() {
@@ -113,9 +115,9 @@
 void http_session::dispatch() {
     request_deadline_.clear();
     release_received();
-    answering_ = true;
+    responding_ = true;
     client_keeps_alive_ = reader_->keep_alive();
-    can_take_chunks_ = reader_->can_take_chunks();
+    supports_chunks_ = reader_->supports_chunks();
     http_request request = reader_->release();
     request.peer = link_->peer();
     reader_ = std::make_unique<http_request_reader>(core_->options.max_header_bytes,
@@ -123,28 +125,28 @@
     auto exchange =
         std::make_shared<session_exchange>(core_, shared_from_this(), std::move(request));
     exchange_ = exchange;
-    // A copy, because the handler may destroy the server.
+    // The copy is needed because the handler may destroy the server.
     const auto handler = core_->handler;
     handler(std::move(exchange));
 }
 
-void http_session::answer_complete() {
-    answering_ = false;
+void http_session::on_response_complete() {
+    responding_ = false;
     exchange_.reset();
     if (ended_) {
         return;
     }
     if (!keeps_alive()) {
-        leave_server();
+        unregister();
         link_->close_after_writes();
         return;
     }
     request_deadline_.set_after(core_->options.request_timeout);
     link_->resume_reading();
     if (!inbox_.empty()) {
-        // From the loop, so that a handler that answers at once does not nest request in request.
+        // Posted to the event loop so that handlers that respond immediately do not nest requests.
         link_->post([self = shared_from_this()] {
-            if (!self->answering_ && !self->ended_) {
+            if (!self->responding_ && !self->ended_) {
                 self->read_request();
             }
         });
@@ -152,7 +154,7 @@
 }
 
 bool http_session::keeps_alive() const {
-    return client_keeps_alive_ && !close_after_answer_ && !core_->stopping && !core_->closing;
+    return client_keeps_alive_ && !close_after_response_ && !core_->stopping && !core_->closing;
 }
 
 void http_session::refuse(int status, std::string_view reason, std::string_view detail) {
@@ -165,11 +167,11 @@
                                        .body_size = response.body.size(),
                                        .keep_alive = false}) +
                  response.body);
-    leave_server();
+    unregister();
     link_->close_after_writes();
 }
 
-void http_session::request_overdue() {
+void http_session::on_request_timeout() {
     if (reader_ != nullptr && (reader_->has_begun() || !inbox_.empty())) {
         refuse(408, "request_timeout", "the whole request did not arrive in time");
         return;
@@ -179,7 +181,7 @@
 
 void http_session::on_progress() {
     if (const auto exchange = exchange_.lock(); exchange != nullptr) {
-        exchange->progressed();
+        exchange->on_client_progress();
     }
 }
 
@@ -187,16 +189,16 @@
     lost_reason_ = base::details_of(status).reason;
     const auto exchange = exchange_.lock();
     exchange_.reset();
-    leave_server();
+    unregister();
     if (exchange != nullptr) {
-        exchange->client_gone();
+        exchange->on_client_closed();
     }
 }
 
 void http_session::close_when_idle() {
-    close_after_answer_ = true;
-    if (!answering_) {
-        leave_server();
+    close_after_response_ = true;
+    if (!responding_) {
+        unregister();
         link_->close_after_writes();
     }
 }
@@ -204,19 +206,19 @@
 void http_session::close() {
     const auto exchange = exchange_.lock();
     exchange_.reset();
-    leave_server();
+    unregister();
     link_->close();
     if (exchange != nullptr) {
-        exchange->client_gone();
+        exchange->on_client_closed();
     }
 }
 
 void http_session::release_received() {
     core_->receiving_bytes -= std::exchange(received_bytes_, 0);
-    arriving_.set(0);
+    buffered_request_.set(0);
 }
 
-void http_session::leave_server() {
+void http_session::unregister() {
     ended_ = true;
     release_received();
     request_deadline_.clear();
--- a/src/pearbarrow/net/http_session.h
+++ b/src/pearbarrow/net/http_session.h
@@ -1,4 +1,4 @@
-/// One connection of the HTTP server: requests one after another. Internal to `net`.
+/// One connection of the HTTP server, which processes requests sequentially. Internal to `net`.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 class http_session;
 class session_exchange;
 
-/// What the sessions of one server share.
+/// State shared by the sessions of one server.
 struct http_server_core {
     http_server_core(http_server_options server_options, http_handler server_handler)
         : options(std::move(server_options)), handler(std::move(server_handler)) {}
@@ -27,10 +27,10 @@
     http_handler handler;
     std::set<std::shared_ptr<http_session>> sessions;
     std::size_t open_exchanges = 0;
-    /// Bytes of requests that are not whole yet.
+    /// Bytes of incomplete requests.
     std::size_t receiving_bytes = 0;
     bool stopping = false;
-    /// Each connection ends after its next answer.
+    /// Whether each connection closes after its next response.
     bool closing = false;
 };
 
@@ -40,32 +40,32 @@
     http_session(boost::asio::io_context& context, std::shared_ptr<http_server_core> core,
                  std::shared_ptr<connection> link);
 
-    /// Begins to read; with `overloaded` the first request is refused with 503.
-    void start(bool overloaded);
+    /// Starts reading. If `overloaded` is set, the first request is rejected with status 503.
+    void start(bool is_overloaded);
     void on_data(std::string_view bytes) override;
     void on_lost(const absl::Status& status) override;
     void on_progress() override;
-    /// Closes unless a request is being answered; then after that answer.
+    /// Closes the session, after the response in progress if there is one.
     void close_when_idle();
-    /// Closes at once.
+    /// Closes the session immediately.
     void close();
 
-    // Called by the exchange under way.
+    // Interface of the current exchange.
     void send(std::string bytes) { link_->write(std::move(bytes)); }
-    void answer_complete();
+    void on_response_complete();
     std::size_t pending_bytes() const { return link_->pending_bytes(); }
     bool keeps_alive() const;
-    bool can_take_chunks() const { return can_take_chunks_; }
+    bool supports_chunks() const { return supports_chunks_; }
     const std::string& lost_reason() const { return lost_reason_; }
 
   private:
     void read_request();
-    bool has_room() const;
+    bool is_within_memory_limits() const;
     void on_head();
     void dispatch();
     void refuse(int status, std::string_view reason, std::string_view detail);
-    void request_overdue();
-    void leave_server();
+    void on_request_timeout();
+    void unregister();
     void release_received();
 
     std::shared_ptr<http_server_core> core_;
@@ -73,14 +73,14 @@
     deadline request_deadline_;
     std::unique_ptr<http_request_reader> reader_;
     std::string inbox_;
-    /// This session's share of `receiving_bytes`.
+    /// Bytes of this session in `receiving_bytes`.
     std::size_t received_bytes_ = 0;
-    held_part arriving_;
+    held_part buffered_request_;
     std::weak_ptr<session_exchange> exchange_;
-    bool answering_ = false;
+    bool responding_ = false;
     bool client_keeps_alive_ = true;
-    bool can_take_chunks_ = true;
-    bool close_after_answer_ = false;
+    bool supports_chunks_ = true;
+    bool close_after_response_ = false;
     bool overloaded_ = false;
     bool ended_ = false;
     std::string lost_reason_;
--- a/src/pearbarrow/net/listener.cc
+++ b/src/pearbarrow/net/listener.cc
@@ -14,7 +14,7 @@
 using boost::asio::ip::tcp;
 using error_code = boost::system::error_code;
 
-/// Wait after an accept that failed, e.g. because no file descriptor was free.
+/// Delay after a failed accept, e.g. because no file descriptor is available.
 constexpr std::chrono::milliseconds accept_retry_delay{100};
 
 }  // namespace
--- a/src/pearbarrow/net/listener.h
+++ b/src/pearbarrow/net/listener.h
@@ -22,7 +22,7 @@
     listener(const listener&) = delete;
     listener& operator=(const listener&) = delete;
 
-    /// Fails with reason `bind_failed` and the address as peer.
+    /// Fails with reason `bind_failed` and the address as the peer.
     absl::Status start(const endpoint& listen, socket_handler handler);
     void stop();
     endpoint local_endpoint() const;
--- a/src/pearbarrow/net/peer_calls.cc
+++ b/src/pearbarrow/net/peer_calls.cc
@@ -10,7 +10,7 @@
 namespace pearbarrow::net {
 
 call_timeouts::call_timeouts(boost::asio::io_context& context)
-    : timer_(context, [this] { run_due(); }) {}
+    : timer_(context, [this] { run_expired(); }) {}
 
 call_timeouts::key call_timeouts::add(base::instant when, std::function<void()> task) {
     const key entry{when, ++last_serial_};
@@ -22,9 +22,9 @@
     return entry;
 }
 
-void call_timeouts::run_due() {
-    const base::instant present = now();
-    while (!tasks_.empty() && tasks_.begin()->first.first <= present) {
+void call_timeouts::run_expired() {
+    const base::instant current_time = now();
+    while (!tasks_.empty() && tasks_.begin()->first.first <= current_time) {
         const auto node = tasks_.extract(tasks_.begin());
         node.mapped()();
     }
@@ -66,13 +66,13 @@
         return;
     }
     const auto self = shared_from_this();
-    const bool may_have_run = withdraw_ && withdraw_();
+    const bool may_have_executed = withdraw_ && withdraw_();
     complete(base::make_error(
         absl::StatusCode::kDeadlineExceeded, "no answer in time",
         {.step = "peer_call",
          .peer = peer_,
          .reason = "deadline_exceeded",
-         .was_executed = may_have_run ? base::executed::unknown : base::executed::no}));
+         .was_executed = may_have_executed ? base::executed::unknown : base::executed::no}));
 }
 
 void outgoing_call::cancel() {
@@ -85,7 +85,7 @@
     if (withdraw) {
         withdraw();
     }
-    // `callbacks_` stays until the call is destroyed: one of them may be running now.
+    // `callbacks_` is kept until the call is destroyed because one of the callbacks may be running.
 }
 
 void outgoing_call::finish() {
@@ -103,8 +103,8 @@
         {.step = "peer_call", .peer = std::string(peer), .reason = "peer_queue_full"});
 }
 
-void run_method(peer_core& core, method_number method, std::string_view payload,
-                std::shared_ptr<peer_responder> responder) {
+void dispatch_method(peer_core& core, method_number method, std::string_view payload,
+                     std::shared_ptr<peer_responder> responder) {
     const auto found = core.methods.find(method);
     if (found == core.methods.end()) {
         responder->fail(base::make_error(
@@ -147,15 +147,15 @@
             });
         }
     }
-    void finish(std::string payload) override { answer(std::move(payload)); }
-    void fail(absl::Status status) override { answer(std::move(status)); }
+    void finish(std::string payload) override { reply(std::move(payload)); }
+    void fail(absl::Status status) override { reply(std::move(status)); }
     void on_cancelled(std::function<void()> callback) override {
         if (!ended_) {
             on_cancelled_ = std::move(callback);
         }
     }
 
-    void cancelled() {
+    void on_caller_cancelled() {
         if (std::exchange(ended_, true)) {
             return;
         }
@@ -178,7 +178,7 @@
         });
     }
 
-    void answer(absl::StatusOr<std::string> result) {
+    void reply(absl::StatusOr<std::string> result) {
         if (std::exchange(ended_, true)) {
             return;
         }
@@ -211,22 +211,22 @@
             return true;
         }
         owner->local_calls.erase(weak_call.lock());
-        auto tell = [weak_responder] {
+        auto notify = [weak_responder] {
             if (const auto alive = weak_responder.lock(); alive != nullptr) {
-                alive->cancelled();
+                alive->on_caller_cancelled();
             }
         };
         if (owner->shut_down) {
-            tell();
+            notify();
         } else {
-            boost::asio::post(owner->context, std::move(tell));
+            boost::asio::post(owner->context, std::move(notify));
         }
         return true;
     });
     boost::asio::post(core->context, [core, call, method, payload = std::move(payload),
                                       responder = std::move(responder)]() mutable {
         if (!core->shut_down && !call->is_done()) {
-            run_method(*core, method, payload, std::move(responder));
+            dispatch_method(*core, method, payload, std::move(responder));
         }
     });
 }
--- a/src/pearbarrow/net/peer_calls.h
+++ b/src/pearbarrow/net/peer_calls.h
@@ -1,4 +1,4 @@
-/// Calls that a node has under way, and what all its links share. Internal to `net`.
+/// Calls in flight from a node, and the state shared by its links. Internal to `net`.
 #pragma once
 
 #include <map>
@@ -14,10 +14,10 @@
 
 namespace pearbarrow::net {
 
-/// Many deadlines over one timer.
+/// Multiplexes many timeouts over one timer.
 class call_timeouts {
   public:
-    /// Moment and serial number.
+    /// Expiry time and serial number.
     using key = std::pair<base::instant, std::uint64_t>;
 
     explicit call_timeouts(boost::asio::io_context& context);
@@ -25,18 +25,18 @@
     void remove(const key& entry) { tasks_.erase(entry); }
 
   private:
-    void run_due();
+    void run_expired();
 
     std::map<key, std::function<void()>> tasks_;
     std::uint64_t last_serial_ = 0;
     deadline timer_;
 };
 
-/// The caller's side of one request, whichever way it goes.
+/// Caller side of one request, local or remote.
 class outgoing_call final : public std::enable_shared_from_this<outgoing_call> {
   public:
-    /// Takes the request back from its transport and tells the server. True when the request may
-    /// have reached it.
+    /// Withdraws the request from its transport and notifies the server. Returns true if the
+    /// request may have reached the server.
     using withdraw_function = std::function<bool()>;
 
     outgoing_call(call_timeouts& timeouts, std::string peer, peer_call_callbacks callbacks)
@@ -45,7 +45,7 @@
     void set_withdraw(withdraw_function withdraw) { withdraw_ = std::move(withdraw); }
     void expire_after(base::milliseconds timeout);
     void part(std::string_view payload);
-    /// Ends the call with its only result.
+    /// Ends the call with its result.
     void complete(absl::StatusOr<std::string> result);
     /// Ends the call without a result.
     void cancel();
@@ -66,7 +66,7 @@
 class framed_link;
 class peer_link;
 
-/// What the links of one node share.
+/// State shared by the links of one node.
 struct peer_core : std::enable_shared_from_this<peer_core> {
     peer_core(boost::asio::io_context& io_context, peer_rpc_options rpc_options)
         : context(io_context),
@@ -85,20 +85,20 @@
     std::map<std::pair<base::node_id, endpoint>, std::shared_ptr<peer_link>> outbound;
     std::set<std::shared_ptr<framed_link>> inbound;
     std::set<std::shared_ptr<outgoing_call>> local_calls;
-    /// Peers whose loss is in the log, until a link to them holds again.
-    std::set<std::pair<base::node_id, endpoint>> known_as_lost;
-    /// Attempts to connect that have failed since the last link that came up.
+    /// Peers whose loss has been logged and to which no link has been established since.
+    std::set<std::pair<base::node_id, endpoint>> reported_lost_peers;
+    /// Consecutive failed connection attempts for each peer.
     std::map<std::pair<base::node_id, endpoint>, std::uint32_t> failed_connects;
     std::uint64_t last_call = 0;
     bool stopping = false;
     bool shut_down = false;
 };
 
-/// Gives a request to its method, or answers that there is none.
-void run_method(peer_core& core, method_number method, std::string_view payload,
-                std::shared_ptr<peer_responder> responder);
+/// Passes a request to the handler of its method, or replies with an error if there is none.
+void dispatch_method(peer_core& core, method_number method, std::string_view payload,
+                     std::shared_ptr<peer_responder> responder);
 
-/// A call of the node to itself.
+/// Starts a call from the node to itself.
 void start_local_call(const std::shared_ptr<peer_core>& core,
                       const std::shared_ptr<outgoing_call>& call, method_number method,
                       std::string payload, base::milliseconds timeout);
--- a/src/pearbarrow/net/peer_frame.cc
+++ b/src/pearbarrow/net/peer_frame.cc
@@ -53,7 +53,7 @@
 
 absl::Status to_status(const error_message& message) {
     constexpr auto highest_code = static_cast<std::uint32_t>(absl::StatusCode::kUnauthenticated);
-    const bool known = message.code > 0 && message.code <= highest_code;
+    const bool is_known_code = message.code > 0 && message.code <= highest_code;
     base::error_details details{.step = message.step,
                                 .peer = message.peer,
                                 .reason = message.reason,
@@ -62,24 +62,24 @@
         details.retry_after = base::milliseconds(message.retry_after);
     }
     return base::make_error(
-        known ? static_cast<absl::StatusCode>(message.code) : absl::StatusCode::kUnknown,
+        is_known_code ? static_cast<absl::StatusCode>(message.code) : absl::StatusCode::kUnknown,
         message.message, std::move(details));
 }
 
 std::string encode_frame(const peer_frame& frame) {
     msgpack::sbuffer buffer(frame.payload.size() + frame_overhead_bytes);
-    const char room[frame_prefix_bytes] = {};
-    buffer.write(room, frame_prefix_bytes);
+    const char prefix_placeholder[frame_prefix_bytes] = {};
+    buffer.write(prefix_placeholder, frame_prefix_bytes);
     msgpack::pack(buffer, frame);
     store_length(buffer.data(), static_cast<std::uint32_t>(buffer.size() - frame_prefix_bytes));
     return {buffer.data(), buffer.size()};
 }
 
-std::string packed_frame(std::string encoded) {
-    if (encoded.size() < least_packed_bytes) {
+std::string compress_frame(std::string encoded) {
+    if (encoded.size() < min_compressed_bytes) {
         return encoded;
     }
-    auto body = pack_bytes(std::string_view(encoded).substr(frame_prefix_bytes));
+    auto body = compress_bytes(std::string_view(encoded).substr(frame_prefix_bytes));
     if (!body.has_value()) {
         return encoded;
     }
@@ -88,8 +88,8 @@
     return packed.size() < encoded.size() ? packed : encoded;
 }
 
-absl::StatusOr<peer_frame> unpacked_frame(const peer_frame& packed, std::size_t max_frame_bytes) {
-    const auto body = unpack_bytes(packed.payload, max_frame_bytes);
+absl::StatusOr<peer_frame> decompress_frame(const peer_frame& packed, std::size_t max_frame_bytes) {
+    const auto body = decompress_bytes(packed.payload, max_frame_bytes);
     if (!body.ok()) {
         return body.status();
     }
@@ -108,22 +108,22 @@
         return absl::OkStatus();
     }
     if (buffer_.empty()) {
-        // The common case: whole frames, read where they are.
-        const auto taken = consume(bytes, handler);
-        if (!taken.ok()) {
-            return taken.status();
+        // Common case: complete frames are decoded in place.
+        const auto consumed = consume(bytes, handler);
+        if (!consumed.ok()) {
+            return consumed.status();
         }
-        buffer_.assign(bytes.substr(*taken));
+        buffer_.assign(bytes.substr(*consumed));
         return absl::OkStatus();
     }
     buffer_.append(bytes);
-    const auto taken = consume(buffer_, handler);
-    if (!taken.ok()) {
-        return taken.status();
+    const auto consumed = consume(buffer_, handler);
+    if (!consumed.ok()) {
+        return consumed.status();
     }
-    buffer_.erase(0, *taken);
+    buffer_.erase(0, *consumed);
     if (buffer_.empty()) {
-        // A large frame's room is not kept for the life of the link.
+        // The buffer of a large frame is freed instead of being kept for the lifetime of the link.
         std::string().swap(buffer_);
     }
     return absl::OkStatus();
@@ -131,26 +131,26 @@
 
 absl::StatusOr<std::size_t> frame_decoder::consume(std::string_view bytes,
                                                    const frame_handler& handler) {
-    std::size_t taken = 0;
-    while (!stopped_ && bytes.size() - taken >= frame_prefix_bytes) {
-        const std::size_t length = load_length(bytes.substr(taken));
+    std::size_t consumed = 0;
+    while (!stopped_ && bytes.size() - consumed >= frame_prefix_bytes) {
+        const std::size_t length = load_length(bytes.substr(consumed));
         if (length > max_frame_bytes_) {
             stopped_ = true;
             return bad_frame("the frame is longer than allowed", "frame_too_large");
         }
-        if (bytes.size() - taken - frame_prefix_bytes < length) {
+        if (bytes.size() - consumed - frame_prefix_bytes < length) {
             break;
         }
-        const std::string_view body = bytes.substr(taken + frame_prefix_bytes, length);
-        if (auto status = take_frame(body, handler); !status.ok()) {
+        const std::string_view body = bytes.substr(consumed + frame_prefix_bytes, length);
+        if (auto status = process_frame(body, handler); !status.ok()) {
             return status;
         }
-        taken += frame_prefix_bytes + length;
+        consumed += frame_prefix_bytes + length;
     }
-    return stopped_ ? bytes.size() : taken;
+    return stopped_ ? bytes.size() : consumed;
 }
 
-absl::Status frame_decoder::take_frame(std::string_view body, const frame_handler& handler) {
+absl::Status frame_decoder::process_frame(std::string_view body, const frame_handler& handler) {
     auto frame = wire::decode<peer_frame>(body);
     constexpr auto highest_kind = static_cast<std::uint8_t>(frame_kind::packed);
     if (!frame.ok() || frame->kind == 0 || frame->kind > highest_kind) {
--- a/src/pearbarrow/net/peer_inbound.cc
+++ b/src/pearbarrow/net/peer_inbound.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Longest timeout that a frame can ask for; longer ones are cut to it.
+/// Upper bound for the timeout of a frame. Longer timeouts are reduced to it.
 constexpr base::milliseconds max_timeout = std::chrono::hours(24);
 
-base::milliseconds bounded_timeout(std::uint64_t wanted) {
-    const auto most = static_cast<std::uint64_t>(max_timeout.count());
-    return base::milliseconds(static_cast<std::int64_t>(std::min(wanted, most)));
+base::milliseconds bounded_timeout(std::uint64_t requested) {
+    const auto limit = static_cast<std::uint64_t>(max_timeout.count());
+    return base::milliseconds(static_cast<std::int64_t>(std::min(requested, limit)));
 }
 
 }  // namespace
@@ -45,13 +45,13 @@
     base::milliseconds timeout() const override { return timeout_; }
 
     void send_part(std::string payload) override {
-        if (fits(payload)) {
+        if (fits_in_frame(payload)) {
             send(frame_kind::part, std::move(payload));
         }
     }
 
     void finish(std::string payload) override {
-        if (fits(payload)) {
+        if (fits_in_frame(payload)) {
             send(frame_kind::reply, std::move(payload));
             end();
         }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The caller has gone or wants no answer any more.
-    void cancelled() {
+    /// Called when the caller disconnects or cancels the request.
+    void on_caller_cancelled() {
         if (std::exchange(ended_, true)) {
             return;
         }
@@ -82,8 +82,9 @@
     }
 
   private:
-    /// An answer that no frame holds ends the request with an error.
-    bool fits(const std::string& payload) {
+    /// Whether the payload fits into a frame. A reply that does not fit ends the request with an
+    /// error.
+    bool fits_in_frame(const std::string& payload) {
         if (payload.size() <= max_payload_bytes_) {
             return true;
         }
@@ -98,10 +99,10 @@
     void send(frame_kind kind, std::string payload) {
         const auto link = link_.lock();
         if (!ended_ && link != nullptr) {
-            link->answer({.kind = static_cast<std::uint8_t>(kind),
-                          .call = call_,
-                          .method = method_,
-                          .payload = std::move(payload)});
+            link->send_reply({.kind = static_cast<std::uint8_t>(kind),
+                              .call = call_,
+                              .method = method_,
+                              .payload = std::move(payload)});
         }
     }
 
@@ -111,7 +112,7 @@
         }
         on_cancelled_ = nullptr;
         if (const auto link = link_.lock(); link != nullptr) {
-            link->forget(call_);
+            link->remove_request(call_);
         }
     }
 
@@ -133,7 +134,7 @@
             return;
         }
         if (!status.ok()) {
-            self->lose(status);
+            self->close_with_error(status);
             return;
         }
         self->begin();
@@ -154,7 +155,7 @@
             const auto node = requests_.extract(frame.call);
             if (const auto responder = node.empty() ? nullptr : node.mapped().lock();
                 responder != nullptr) {
-                responder->cancelled();
+                responder->on_caller_cancelled();
             }
             return absl::OkStatus();
         }
@@ -170,7 +171,7 @@
     auto self = std::static_pointer_cast<peer_inbound>(shared_from_this());
     auto responder = std::make_shared<remote_responder>(self, frame, core_->options);
     if (requests_.count(frame.call) > 0) {
-        responder->cancelled();
+        responder->on_caller_cancelled();
         return base::make_error(
             absl::StatusCode::kInvalidArgument, "a number of a call used twice",
             {.step = "peer_frame", .peer = link_->peer(), .reason = "malformed_frame"});
@@ -186,17 +187,17 @@
         return absl::OkStatus();
     }
     requests_.emplace(frame.call, responder);
-    watch_silence();
-    run_method(*core_, frame.method, frame.payload, std::move(responder));
+    start_silence_detection();
+    dispatch_method(*core_, frame.method, frame.payload, std::move(responder));
     return absl::OkStatus();
 }
 
-void peer_inbound::ended(const absl::Status& /*status*/) {
+void peer_inbound::on_ended(const absl::Status& /*status*/) {
     core_->inbound.erase(shared_from_this());
     const auto requests = std::exchange(requests_, {});
     for (const auto& [call, weak] : requests) {
         if (const auto responder = weak.lock(); responder != nullptr) {
-            responder->cancelled();
+            responder->on_caller_cancelled();
         }
     }
 }
--- a/src/pearbarrow/net/peer_link.cc
+++ b/src/pearbarrow/net/peer_link.cc
@@ -10,20 +10,20 @@
 namespace pearbarrow::net {
 namespace {
 
-/// Peers that left for good must not fill the memory.
-constexpr std::size_t most_lost_peers = 4'096;
+/// Bounds the memory used for peers that never return.
+constexpr std::size_t max_reported_lost_peers = 4'096;
 
 constexpr char hello_timeout[] = "hello_timeout";
 
 connection_options limits_of(const peer_rpc_options& options) {
     constexpr std::size_t read_bytes = std::size_t{16} * 1024;
-    // Above the bound of requests, so that cancel and probe frames still fit.
+    // Exceeds the limit for requests so that cancel and probe frames still fit.
     return {.max_pending_bytes = options.max_queued_bytes + options.max_frame_bytes,
             .write_timeout = options.write_timeout,
             .read_buffer_bytes = read_bytes,
             .verify_address = false,
             .held = options.held,
-            .held_as = holding::frames};
+            .buffer_kind = holding::frames};
 }
 
 absl::Status bad_link(std::string_view message, std::string peer, std::string reason) {
@@ -46,8 +46,9 @@
     : core_(std::move(core)),
       link_(std::move(link)),
       decoder_(core_->options.max_frame_bytes),
-      hello_deadline_(core_->context,
-                      [this] { lose(bad_link("no hello in time", link_->peer(), hello_timeout)); }),
+      hello_deadline_(
+          core_->context,
+          [this] { close_with_error(bad_link("no hello in time", link_->peer(), hello_timeout)); }),
       silence_(core_->context, [this] { on_silence(); }) {
     hello_deadline_.set_after(core_->options.connect_timeout);
 }
@@ -61,12 +62,13 @@
     const auto kind = static_cast<frame_kind>(frame.kind);
     const bool is_answer =
         kind == frame_kind::part || kind == frame_kind::reply || kind == frame_kind::error;
-    link_->write(for_link(frame.method, is_answer, std::move(bytes)));
+    link_->write(prepare_frame(frame.method, is_answer, std::move(bytes)));
 }
 
-std::string framed_link::for_link(wire::method_number method, bool is_answer, std::string encoded) {
-    if (packs_) {
-        encoded = packed_frame(std::move(encoded));
+std::string framed_link::prepare_frame(wire::method_number method, bool is_answer,
+                                       std::string encoded) {
+    if (compresses_) {
+        encoded = compress_frame(std::move(encoded));
     }
     core_->traffic.add(method, is_answer, distance_, encoded.size());
     return encoded;
@@ -77,36 +79,36 @@
           .payload = wire::encode(hello_message{.cluster = core_->options.cluster,
                                                 .node = core_->options.self,
                                                 .zone = core_->options.zone,
-                                                .unpacks = true})});
+                                                .supports_compression = true})});
 }
 
 void framed_link::on_data(std::string_view bytes) {
-    last_heard_ = now();
+    last_received_at_ = now();
     const auto status = decoder_.feed(bytes, [this](peer_frame frame) {
-        if (const auto taken = take(std::move(frame)); !taken.ok()) {
-            lose(taken);
+        if (const auto handled = handle_frame(std::move(frame)); !handled.ok()) {
+            close_with_error(handled);
         }
         return !ended_;
     });
     if (!status.ok()) {
-        lose(status);
+        close_with_error(status);
     }
 }
 
-absl::Status framed_link::take(peer_frame frame) {
+absl::Status framed_link::handle_frame(peer_frame frame) {
     if (!hello_seen_) {
-        return take_hello(frame);
+        return handle_hello(frame);
     }
     switch (static_cast<frame_kind>(frame.kind)) {
         case frame_kind::hello:
             return bad_frame(link_->peer());
         case frame_kind::probe:
-            send({.kind = static_cast<std::uint8_t>(frame_kind::probe_answer)});
+            send({.kind = static_cast<std::uint8_t>(frame_kind::probe_reply)});
             return absl::OkStatus();
-        case frame_kind::probe_answer:
+        case frame_kind::probe_reply:
             return absl::OkStatus();
         case frame_kind::packed: {
-            auto inner = unpacked_frame(frame, core_->options.max_frame_bytes);
+            auto inner = decompress_frame(frame, core_->options.max_frame_bytes);
             return inner.ok() ? on_frame(*std::move(inner)) : inner.status();
         }
         default:
@@ -114,7 +116,7 @@
     }
 }
 
-absl::Status framed_link::take_hello(const peer_frame& frame) {
+absl::Status framed_link::handle_hello(const peer_frame& frame) {
     const auto hello = wire::decode<hello_message>(frame.payload);
     if (frame.kind != static_cast<std::uint8_t>(frame_kind::hello) || !hello.ok()) {
         return bad_link("the link does not begin with a hello", link_->peer(), "malformed_hello");
@@ -131,15 +133,15 @@
     if (const auto& distance_of = core_->options.distance_of; distance_of && !hello->zone.empty()) {
         distance_ = distance_of(hello->zone);
     }
-    packs_ = hello->unpacks &&
-             (distance_ == peer_distance::other_zone || distance_ == peer_distance::other_region);
+    compresses_ = hello->supports_compression && (distance_ == peer_distance::other_zone ||
+                                                  distance_ == peer_distance::other_region);
     return on_hello(*hello);
 }
 
-void framed_link::watch_silence() {
+void framed_link::start_silence_detection() {
     if (!silence_.is_set()) {
-        last_heard_ = now();
-        silence_.set(last_heard_ + core_->options.silence_before_probe);
+        last_received_at_ = now();
+        silence_.set(last_received_at_ + core_->options.silence_before_probe);
     }
 }
 
@@ -147,45 +149,45 @@
     if (ended_ || !has_calls()) {
         return;
     }
-    const base::instant present = now();
+    const base::instant current_time = now();
     const auto& options = core_->options;
-    if (present - last_heard_ >= options.silence_before_loss) {
-        lose(base::make_error(absl::StatusCode::kUnavailable, "the node is silent",
-                              {.step = "peer_link",
-                               .peer = link_->peer(),
-                               .reason = "peer_silent",
-                               .was_executed = base::executed::unknown}));
+    if (current_time - last_received_at_ >= options.silence_before_loss) {
+        close_with_error(base::make_error(absl::StatusCode::kUnavailable, "the node is silent",
+                                          {.step = "peer_link",
+                                           .peer = link_->peer(),
+                                           .reason = "peer_silent",
+                                           .was_executed = base::executed::unknown}));
         return;
     }
-    if (present - last_heard_ >= options.silence_before_probe) {
+    if (current_time - last_received_at_ >= options.silence_before_probe) {
         send({.kind = static_cast<std::uint8_t>(frame_kind::probe)});
-        silence_.set(std::min<base::instant>(present + options.silence_before_probe,
-                                             last_heard_ + options.silence_before_loss));
+        silence_.set(std::min<base::instant>(current_time + options.silence_before_probe,
+                                             last_received_at_ + options.silence_before_loss));
         return;
     }
-    silence_.set(last_heard_ + options.silence_before_probe);
+    silence_.set(last_received_at_ + options.silence_before_probe);
 }
 
 void framed_link::on_lost(const absl::Status& status) {
-    lose(status);
+    close_with_error(status);
 }
 
-void framed_link::lose(const absl::Status& status) {
+void framed_link::close_with_error(const absl::Status& status) {
     if (std::exchange(ended_, true)) {
         return;
     }
     const auto self = shared_from_this();
     hello_deadline_.clear();
     silence_.clear();
-    // An orderly end needs no line in the log.
-    if (status.code() != absl::StatusCode::kOutOfRange && !core_->shut_down && loss_is_news()) {
+    // An orderly close is not logged.
+    if (status.code() != absl::StatusCode::kOutOfRange && !core_->shut_down && should_log_loss()) {
         auto fields = base::log_fields(status);
         fields["link"] = link_->peer();
         base::log(base::log_level::warning, "peer_link_lost", std::move(fields));
     }
-    // After the hello that it sent, so that the other side sees the mismatch too.
+    // The hello is written first, so that the peer can detect the mismatch too.
     link_->close_after_writes();
-    ended(status);
+    on_ended(status);
 }
 
 peer_link::peer_link(std::shared_ptr<peer_core> core, base::node_id node, endpoint address)
@@ -195,8 +197,8 @@
       node_(std::move(node)),
       address_(std::move(address)) {}
 
-base::milliseconds peer_link::time_to_connect() const {
-    constexpr std::uint32_t most_doublings = 10;
+base::milliseconds peer_link::next_connect_timeout() const {
+    constexpr std::uint32_t max_doublings = 10;
     const peer_rpc_options& options = core_->options;
     if (options.first_connect_timeout.count() == 0) {
         return options.connect_timeout;
@@ -204,25 +206,25 @@
     const auto found = core_->failed_connects.find({node_, address_});
     const std::uint32_t failed = found == core_->failed_connects.end() ? 0 : found->second;
     return std::min(options.connect_timeout,
-                    options.first_connect_timeout * (1U << std::min(failed, most_doublings)));
+                    options.first_connect_timeout * (1U << std::min(failed, max_doublings)));
 }
 
-void peer_link::count_failed_connect() {
-    if (core_->failed_connects.size() >= most_lost_peers) {
+void peer_link::record_connect_failure() {
+    if (core_->failed_connects.size() >= max_reported_lost_peers) {
         core_->failed_connects.clear();
     }
     ++core_->failed_connects[{node_, address_}];
 }
 
 void peer_link::start() {
-    expect_hello_within(time_to_connect());
+    expect_hello_within(next_connect_timeout());
     link_->connect(address_, [self = std::static_pointer_cast<peer_link>(shared_from_this())](
                                  const absl::Status& status) {
         if (self->has_ended()) {
             return;
         }
         if (!status.ok()) {
-            self->lose(status);
+            self->close_with_error(status);
             return;
         }
         self->begin();
@@ -230,11 +232,11 @@
     });
 }
 
-bool peer_link::loss_is_news() {
-    if (core_->known_as_lost.size() >= most_lost_peers) {
-        core_->known_as_lost.clear();
+bool peer_link::should_log_loss() {
+    if (core_->reported_lost_peers.size() >= max_reported_lost_peers) {
+        core_->reported_lost_peers.clear();
     }
-    return core_->known_as_lost.insert({node_, address_}).second;
+    return core_->reported_lost_peers.insert({node_, address_}).second;
 }
 
 absl::Status peer_link::send_request(const std::shared_ptr<outgoing_call>& call,
@@ -250,8 +252,8 @@
     pending_call pending{.call = call};
     if (is_ready()) {
         pending.position = link_->queued_position();
-        link_->write(for_link(request.method, false, std::move(bytes)));
-        watch_silence();
+        link_->write(prepare_frame(request.method, false, std::move(bytes)));
+        start_silence_detection();
     } else {
         waiting_bytes_ += bytes.size();
         waiting_.push_back({.call = id, .method = request.method, .bytes = std::move(bytes)});
@@ -269,18 +271,18 @@
         return bad_link("another node answers at this address: " + hello.node.value(),
                         to_string(address_), "wrong_node");
     }
-    core_->known_as_lost.erase({node_, address_});
+    core_->reported_lost_peers.erase({node_, address_});
     core_->failed_connects.erase({node_, address_});
     for (waiting_frame& frame : waiting_) {
         if (const auto found = calls_.find(frame.call); found != calls_.end()) {
             found->second.position = link_->queued_position();
-            link_->write(for_link(frame.method, false, std::move(frame.bytes)));
+            link_->write(prepare_frame(frame.method, false, std::move(frame.bytes)));
         }
     }
     waiting_.clear();
     waiting_bytes_ = 0;
     if (has_calls()) {
-        watch_silence();
+        start_silence_detection();
     }
     return absl::OkStatus();
 }
@@ -289,7 +291,7 @@
     switch (static_cast<frame_kind>(frame.kind)) {
         case frame_kind::part:
             if (const auto found = calls_.find(frame.call); found != calls_.end()) {
-                // A copy, because the callback may cancel the call.
+                // The copy is needed because the callback may cancel the call.
                 const auto call = found->second.call;
                 call->part(frame.payload);
             }
@@ -315,7 +317,7 @@
 }
 
 std::shared_ptr<outgoing_call> peer_link::take_call(std::uint64_t id) {
-    // None when the call was cancelled while its answer was on the way.
+    // The call is absent if it was cancelled while its reply was in transit.
     auto node = calls_.extract(id);
     return node.empty() ? nullptr : std::move(node.mapped().call);
 }
@@ -330,10 +332,10 @@
         return true;
     }
     const bool sent = node.mapped().position.has_value();
-    const bool may_have_run = may_have_sent(node.mapped());
+    const bool may_have_executed = may_have_sent(node.mapped());
     if (sent) {
         send({.kind = static_cast<std::uint8_t>(frame_kind::cancel), .call = id});
-        return may_have_run;
+        return may_have_executed;
     }
     const auto same = [id](const waiting_frame& frame) { return frame.call == id; };
     if (const auto found = std::find_if(waiting_.begin(), waiting_.end(), same);
@@ -344,22 +346,23 @@
     return false;
 }
 
-void peer_link::abandon_calls() {
+void peer_link::cancel_calls() {
     const auto calls = calls_;
     for (const auto& [id, pending] : calls) {
         pending.call->cancel();
     }
 }
 
-void peer_link::ended(const absl::Status& status) {
+void peer_link::on_ended(const absl::Status& status) {
     const auto found = core_->outbound.find({node_, address_});
     if (found != core_->outbound.end() && found->second.get() == this) {
         core_->outbound.erase(found);
     }
     base::error_details details = base::details_of(status);
-    // A refusal says at once that nobody listens yet: only silence makes the next attempt longer.
+    // A refused connection fails immediately, so only an unresponsive peer increases the next
+    // timeout.
     if (details.reason == hello_timeout) {
-        count_failed_connect();
+        record_connect_failure();
     }
     if (details.reason == "connection_closed") {
         details.reason = "connection_lost";
--- a/src/pearbarrow/net/peer_link.h
+++ b/src/pearbarrow/net/peer_link.h
@@ -1,5 +1,4 @@
-/// The two kinds of link between nodes: to a peer that is called, and from one that calls.
-/// Internal to `net`.
+/// Outbound and inbound links between nodes. Internal to `net`.
 #pragma once
 
 #include <deque>
@@ -13,35 +12,35 @@
 
 namespace pearbarrow::net {
 
-/// Frames, hello and probes: what both kinds have in common.
+/// Common part of both kinds of links: frames, hello and probes.
 class framed_link : public connection_user, public std::enable_shared_from_this<framed_link> {
   public:
     framed_link(std::shared_ptr<peer_core> core, std::shared_ptr<connection> link);
 
     void on_data(std::string_view bytes) final;
     void on_lost(const absl::Status& status) final;
-    /// Closes and ends what was under way.
-    void lose(const absl::Status& status);
+    /// Closes the link and ends its calls.
+    void close_with_error(const absl::Status& status);
 
   protected:
-    /// Checks the other side's hello; the status says what does not match.
+    /// Validates the hello of the peer. The status describes a mismatch.
     virtual absl::Status on_hello(const hello_message& hello) = 0;
     virtual absl::Status on_frame(peer_frame frame) = 0;
     virtual bool has_calls() const = 0;
-    /// Whether the loss is news, and not one more failure to reach a peer that is known as lost.
-    virtual bool loss_is_news() { return true; }
-    /// The link is closed; runs once.
-    virtual void ended(const absl::Status& status) = 0;
+    /// Whether to log the loss. Repeated failures to reach a lost peer are not logged.
+    virtual bool should_log_loss() { return true; }
+    /// Runs once when the link is closed.
+    virtual void on_ended(const absl::Status& status) = 0;
 
     void begin();
     void send(const peer_frame& frame);
-    /// Counts a frame that is about to be written, and packs it where the link's bytes are dear.
-    std::string for_link(wire::method_number method, bool is_answer, std::string encoded);
+    /// Counts an outgoing frame, and compresses it if the link crosses zones.
+    std::string prepare_frame(wire::method_number method, bool is_answer, std::string encoded);
     void send_hello();
-    /// Gives the link up unless the other side's hello comes in this time from now.
+    /// Closes the link unless the hello of the peer arrives within `time`.
     void expect_hello_within(base::milliseconds time) { hello_deadline_.set_after(time); }
-    /// Starts the search for a silent peer, when calls begin on an idle link.
-    void watch_silence();
+    /// Starts the detection of an unresponsive peer when calls begin on an idle link.
+    void start_silence_detection();
     bool is_ready() const { return hello_seen_; }
     bool has_ended() const { return ended_; }
 
@@ -49,36 +48,37 @@
     std::shared_ptr<connection> link_;
 
   private:
-    absl::Status take(peer_frame frame);
-    absl::Status take_hello(const peer_frame& frame);
+    absl::Status handle_frame(peer_frame frame);
+    absl::Status handle_hello(const peer_frame& frame);
     void on_silence();
 
     frame_decoder decoder_;
     deadline hello_deadline_;
     deadline silence_;
-    base::instant last_heard_{};
+    base::instant last_received_at_{};
     peer_distance distance_ = peer_distance::unknown;
-    /// The peer is in another zone and understands packed frames.
-    bool packs_ = false;
+    /// Whether the peer is in another zone and supports compressed frames.
+    bool compresses_ = false;
     bool hello_seen_ = false;
     bool ended_ = false;
 };
 
-/// A link to a peer, on which this node makes requests.
+/// A link to a peer, which carries requests of this node.
 class peer_link final : public framed_link {
   public:
     peer_link(std::shared_ptr<peer_core> core, base::node_id node, endpoint address);
 
     void start();
-    /// Sends a request, or keeps it until the hello is done. Fails with `peer_queue_full`.
+    /// Sends a request, or queues it until the hello exchange is complete. Fails with
+    /// `peer_queue_full`.
     absl::Status send_request(const std::shared_ptr<outgoing_call>& call, peer_frame request);
-    /// Cancels every call under way.
-    void abandon_calls();
+    /// Cancels all calls in flight.
+    void cancel_calls();
 
   private:
     struct pending_call {
         std::shared_ptr<outgoing_call> call;
-        /// Where its frame begins in the stream of bytes, once it is queued.
+        /// Stream position of the frame, once it is queued.
         std::optional<std::uint64_t> position;
     };
     struct waiting_frame {
@@ -90,11 +90,11 @@
     absl::Status on_hello(const hello_message& hello) override;
     absl::Status on_frame(peer_frame frame) override;
     bool has_calls() const override { return !calls_.empty(); }
-    bool loss_is_news() override;
-    void ended(const absl::Status& status) override;
+    bool should_log_loss() override;
+    void on_ended(const absl::Status& status) override;
 
-    base::milliseconds time_to_connect() const;
-    void count_failed_connect();
+    base::milliseconds next_connect_timeout() const;
+    void record_connect_failure();
     std::shared_ptr<outgoing_call> take_call(std::uint64_t id);
     bool withdraw(std::uint64_t id);
     bool may_have_sent(const pending_call& pending) const;
@@ -108,22 +108,22 @@
 
 class remote_responder;
 
-/// A link from a peer, on which it makes requests.
+/// A link from a peer, which carries requests of that peer.
 class peer_inbound final : public framed_link {
   public:
     using framed_link::framed_link;
 
     void start();
     const base::node_id& caller() const { return caller_; }
-    /// Sends a frame of an answer.
-    void answer(const peer_frame& frame) { send(frame); }
-    void forget(std::uint64_t call) { requests_.erase(call); }
+    /// Sends a frame of a reply.
+    void send_reply(const peer_frame& frame) { send(frame); }
+    void remove_request(std::uint64_t call) { requests_.erase(call); }
 
   private:
     absl::Status on_hello(const hello_message& hello) override;
     absl::Status on_frame(peer_frame frame) override;
     bool has_calls() const override { return !requests_.empty(); }
-    void ended(const absl::Status& status) override;
+    void on_ended(const absl::Status& status) override;
     absl::Status begin_request(const peer_frame& frame);
 
     base::node_id caller_;
--- a/src/pearbarrow/net/peer_rpc.cc
+++ b/src/pearbarrow/net/peer_rpc.cc
@@ -66,7 +66,7 @@
         call->expire_after(timeout);
         const absl::Status status = send(node, address, call, method, std::move(payload), timeout);
         if (!status.ok()) {
-            // From the loop, so that no callback runs inside this call.
+            // Posted to the event loop so that no callback runs inside this call.
             loop_.post([core = core_, call, status] {
                 if (!core->shut_down) {
                     call->complete(status);
@@ -155,7 +155,7 @@
                                .write_timeout = options.write_timeout,
                                .read_buffer_bytes = read_bytes,
                                .held = options.held,
-                               .held_as = holding::frames},
+                               .buffer_kind = holding::frames},
             core->counters);
         auto inbound = std::make_shared<peer_inbound>(core, std::move(link));
         core->inbound.insert(inbound);
@@ -170,18 +170,18 @@
                              {.step = "peer_call",
                               .reason = "links_closed",
                               .was_executed = base::executed::unknown});
-        // Calls end without callbacks: their owners are going too.
+        // Calls end without callbacks because their owners are being destroyed too.
         for (const auto& call : std::exchange(core_->local_calls, {})) {
             call->cancel();
         }
         const auto outbound = std::exchange(core_->outbound, {});
         for (const auto& [key, link] : outbound) {
-            link->abandon_calls();
-            link->lose(status);
+            link->cancel_calls();
+            link->close_with_error(status);
         }
         const auto inbound = std::exchange(core_->inbound, {});
         for (const auto& link : inbound) {
-            link->lose(status);
+            link->close_with_error(status);
         }
         core_->methods.clear();
     }
--- a/src/pearbarrow/net/peer_traffic.h
+++ b/src/pearbarrow/net/peer_traffic.h
@@ -1,4 +1,4 @@
-/// What a node sends to other nodes, by call and by how far the other node is.
+/// Traffic from a node to other nodes, by method and distance.
 #pragma once
 
 #include <cstdint>
@@ -10,44 +10,44 @@
 
 namespace pearbarrow::net {
 
-/// Where a peer is, as seen from this node.
+/// Distance from this node to a peer.
 enum class peer_distance : std::uint8_t {
-    /// The peer has not said where it is.
+    /// The peer did not report its zone.
     unknown,
     own_zone,
-    /// Another zone of the own region.
+    /// Another zone of the same region.
     other_zone,
     other_region,
 };
 
 struct traffic_row {
-    /// 0: what links need themselves (hello, probes, cancelled calls).
+    /// 0 for frames of the link itself (hello, probes, cancellations).
     wire::method_number method = 0;
-    /// Of the called node, in place of a request to it.
+    /// Whether the row counts replies of the called node instead of requests to it.
     bool is_answer = false;
     peer_distance distance = peer_distance::unknown;
     std::uint64_t frames = 0;
-    /// With frames' lengths; without TLS and below.
+    /// Includes the length prefixes of frames, but neither TLS nor lower layers.
     std::uint64_t bytes = 0;
 };
 
-/// Sums since the start.
+/// Totals since the start.
 class peer_traffic {
   public:
     void add(wire::method_number method, bool is_answer, peer_distance distance,
              std::uint64_t bytes) {
-        sum& held = this->sums[{method, is_answer, distance}];
-        ++held.frames;
-        held.bytes += bytes;
+        sum& total = this->sums[{method, is_answer, distance}];
+        ++total.frames;
+        total.bytes += bytes;
     }
 
     std::vector<traffic_row> rows() const {
-        std::vector<traffic_row> found;
-        for (const auto& [key, held] : this->sums) {
+        std::vector<traffic_row> result;
+        for (const auto& [key, total] : this->sums) {
             const auto& [method, is_answer, distance] = key;
-            found.push_back({method, is_answer, distance, held.frames, held.bytes});
+            result.push_back({method, is_answer, distance, total.frames, total.bytes});
         }
-        return found;
+        return result;
     }
 
   private:
--- a/src/pearbarrow/net/server_sent_events.cc
+++ b/src/pearbarrow/net/server_sent_events.cc
@@ -64,12 +64,12 @@
 
 void server_sent_event_parser::finish_line(std::string_view line) {
     if (buffer_.empty()) {
-        take_line(line);
+        process_line(line);
         return;
     }
     buffer_.append(line);
     const std::string whole = std::exchange(buffer_, {});
-    take_line(whole);
+    process_line(whole);
 }
 
 void server_sent_event_parser::drop_event() {
@@ -79,7 +79,7 @@
     has_data_ = false;
 }
 
-void server_sent_event_parser::take_line(std::string_view line) {
+void server_sent_event_parser::process_line(std::string_view line) {
     if (line.empty()) {
         server_sent_event event = std::exchange(current_, {});
         if (std::exchange(has_data_, false)) {
--- a/src/pearbarrow/net/server_sent_events.h
+++ b/src/pearbarrow/net/server_sent_events.h
@@ -1,4 +1,4 @@
-/// Server-sent events (WHATWG HTML, section 9.2): formatting and incremental parsing.
+/// Formatting and incremental parsing of server-sent events (WHATWG HTML, section 9.2).
 #pragma once
 
 #include <cstddef>
@@ -14,24 +14,24 @@
     std::string data;
 };
 
-/// The event's text, ending with an empty line. Newlines in `data` become several data lines.
+/// Formats the event with a final empty line. Newlines in `data` split it into several data lines.
 std::string format_event(const server_sent_event& event);
 
-/// Longest event kept while it is parsed.
+/// Limit for the size of an event while it is parsed.
 inline constexpr std::size_t max_event_bytes = std::size_t{16} * 1024 * 1024;
 
-/// Feeds bytes in any division and calls back for each whole event.
+/// Parses bytes that arrive in pieces of any size and reports each complete event.
 class server_sent_event_parser {
   public:
     explicit server_sent_event_parser(std::function<void(server_sent_event)> on_event);
     void feed(std::string_view bytes);
-    /// True once an event or a line longer than `max_event_bytes` was dropped.
+    /// Whether an event or a line longer than `max_event_bytes` was dropped.
     bool overflowed() const { return overflowed_; }
 
   private:
     void keep_partial_line(std::string_view part);
     void finish_line(std::string_view line);
-    void take_line(std::string_view line);
+    void process_line(std::string_view line);
     void drop_event();
 
     std::function<void(server_sent_event)> on_event_;
--- a/src/pearbarrow/net/tcp_relay.cc
+++ b/src/pearbarrow/net/tcp_relay.cc
@@ -22,8 +22,8 @@
 using error_code = boost::system::error_code;
 
 constexpr std::size_t read_bytes = std::size_t{64} * 1024;
-/// Bytes held back in one direction before the relay stops reading.
-constexpr std::size_t max_held_bytes = std::size_t{4} * 1024 * 1024;
+/// Limit for the buffered bytes of one direction. The relay stops reading above it.
+constexpr std::size_t max_buffered_bytes = std::size_t{4} * 1024 * 1024;
 
 struct relay_state {
     relay_settings settings;
@@ -39,7 +39,7 @@
     }
 };
 
-/// One direction of a relayed connection: reads, holds each chunk until it is due, writes.
+/// One direction of a relayed connection: reads chunks, delays each of them, and writes them.
 class relay_direction final : public std::enable_shared_from_this<relay_direction> {
   public:
     struct hooks {
@@ -57,7 +57,7 @@
           buffer_(read_bytes) {}
 
     void read() {
-        if (reading_ || ended_ || held_ > max_held_bytes) {
+        if (reading_ || ended_ || buffered_bytes_ > max_buffered_bytes) {
             return;
         }
         reading_ = true;
@@ -68,7 +68,7 @@
             });
     }
 
-    /// Writes what is due, if nothing holds it back.
+    /// Writes the next chunk if it is due and the direction is not stalled.
     void write() {
         if (writing_ || broken_ || hooks_.stalled()) {
             return;
@@ -113,7 +113,7 @@
             ended_ = true;
         } else {
             hooks_.count(size);
-            held_ += size;
+            buffered_bytes_ += size;
             chunks_.push_back({std::string(buffer_.data(), size), now() + hooks_.delay()});
         }
         write();
@@ -129,7 +129,7 @@
             hooks_.broken();
             return;
         }
-        held_ -= chunks_.front().bytes.size();
+        buffered_bytes_ -= chunks_.front().bytes.size();
         chunks_.pop_front();
         read();
         write();
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Passes an orderly end on.
+    /// Forwards an orderly close.
     void end() {
         if (ended_ && !end_passed_) {
             end_passed_ = true;
@@ -159,7 +159,7 @@
     boost::asio::steady_timer timer_;
     std::vector<char> buffer_;
     std::deque<chunk> chunks_;
-    std::size_t held_ = 0;
+    std::size_t buffered_bytes_ = 0;
     bool reading_ = false;
     bool writing_ = false;
     bool ended_ = false;
@@ -167,7 +167,7 @@
     bool broken_ = false;
 };
 
-/// A client's connection and the one to the target.
+/// The connection of a client and the connection to the target.
 class relay_link final : public std::enable_shared_from_this<relay_link> {
   public:
     using closed_handler = std::function<void(const std::shared_ptr<relay_link>&)>;
--- a/src/pearbarrow/net/tcp_relay.h
+++ b/src/pearbarrow/net/tcp_relay.h
@@ -13,11 +13,12 @@
 namespace pearbarrow::net {
 
 enum class relay_mode {
-    /// Forwards everything, after the delay.
+    /// Forwards all bytes after the delay.
     pass,
-    /// Closes all connections, and each new one at once.
+    /// Closes all connections, and each new connection immediately.
     cut,
-    /// Holds bytes back in one direction or both, as a lost network does; they go on later.
+    /// Buffers bytes of one direction or both, as during a network partition, and forwards them
+    /// later.
     stall_to_target,
     stall_to_client,
     stall_both,
@@ -25,7 +26,7 @@
 
 struct relay_settings {
     relay_mode mode = relay_mode::pass;
-    /// Added to each direction.
+    /// Latency that is added in each direction.
     base::milliseconds delay{0};
 };
 
@@ -41,13 +42,13 @@
     virtual ~tcp_relay() = default;
     virtual absl::Status start() = 0;
     virtual endpoint local_endpoint() const = 0;
-    /// In force at once, also for open connections.
+    /// Applies the settings immediately, including to open connections.
     virtual void set(relay_settings settings) = 0;
     virtual relay_settings settings() const = 0;
     virtual relay_counters counters() const = 0;
 };
 
-/// Forwards connections to `listen` on to `target`.
+/// Forwards connections accepted at `listen` to `target`.
 std::unique_ptr<tcp_relay> make_tcp_relay(event_loop& loop, endpoint listen, endpoint target);
 
 }  // namespace pearbarrow::net
--- a/src/pearbarrow/net/tls.cc
+++ b/src/pearbarrow/net/tls.cc
@@ -11,20 +11,20 @@
 namespace ssl = boost::asio::ssl;
 using error_code = boost::system::error_code;
 
-absl::Status unusable(const std::string& file, const std::string& message) {
+absl::Status unusable_file(const std::string& file, const std::string& message) {
     return base::make_error(absl::StatusCode::kFailedPrecondition, message,
                             {.step = "load_tls", .peer = file, .reason = "tls_files_unusable"});
 }
 
-absl::Status load_own_key(ssl::context& context, const tls_files& files) {
+absl::Status load_key_pair(ssl::context& context, const tls_files& files) {
     error_code error;
     context.use_certificate_chain_file(files.certificate_chain, error);
     if (error) {
-        return unusable(files.certificate_chain, error.message());
+        return unusable_file(files.certificate_chain, error.message());
     }
     context.use_private_key_file(files.private_key, ssl::context::pem, error);
     if (error) {
-        return unusable(files.private_key, error.message());
+        return unusable_file(files.private_key, error.message());
     }
     return absl::OkStatus();
 }
@@ -33,10 +33,10 @@
     error_code error;
     context.load_verify_file(files.client_authorities, error);
     if (error) {
-        return unusable(files.client_authorities, error.message());
+        return unusable_file(files.client_authorities, error.message());
     }
     context.set_verify_mode(ssl::verify_peer | ssl::verify_fail_if_no_peer_cert, error);
-    return error ? unusable(files.client_authorities, error.message()) : absl::OkStatus();
+    return error ? unusable_file(files.client_authorities, error.message()) : absl::OkStatus();
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
                                     ssl::context::no_tlsv1_1 | SSL_OP_NO_TICKET,
                                 error);
     if (is_server || !files.certificate_chain.empty()) {
-        if (auto status = load_own_key(result->context, files); !status.ok()) {
+        if (auto status = load_key_pair(result->context, files); !status.ok()) {
             return status;
         }
     }
@@ -60,7 +60,7 @@
             return status;
         }
     }
-    // Without sessions and tickets a certificate is checked on every connection.
+    // Sessions and tickets are disabled so that certificates are verified on every connection.
     SSL_CTX_set_num_tickets(result->context.native_handle(), 0);
     SSL_CTX_set_session_cache_mode(result->context.native_handle(), SSL_SESS_CACHE_OFF);
     return result;
--- a/src/pearbarrow/net/tls_files.h
+++ b/src/pearbarrow/net/tls_files.h
@@ -1,17 +1,17 @@
-/// Names of the files that hold keys and certificates.
+/// Paths of the key and certificate files.
 #pragma once
 
 #include <string>
 
 namespace pearbarrow::net {
 
-/// Files of PEM keys and certificates; read at the start and on `reload_tls`.
+/// Paths of PEM files, which are read at start-up and on `reload_tls`.
 struct tls_files {
-    /// The own certificate and key. A client that shows no certificate leaves both empty.
+    /// Certificate and key of this process. Both are empty for a client without a certificate.
     std::string certificate_chain;
     std::string private_key;
-    /// Certificate authorities that the other side must be signed by. On a server empty means
-    /// that clients need no certificate; clients always need it.
+    /// Certificate authorities that must have signed the certificate of the peer. On a server an
+    /// empty path means that clients need no certificate; clients always need authorities.
     std::string client_authorities;
 };
 
--- a/tests/unit/net/frame_packing_test.cc
+++ b/tests/unit/net/frame_packing_test.cc
@@ -1,4 +1,4 @@
-// Frames that are packed on their way between zones.
+// Compression of frames on cross-zone links.
 #include "pearbarrow/net/frame_packing.h"
 
 #include <string>
@@ -50,74 +50,75 @@
     return 0;
 }
 
-/// Bytes of the request and of its answer.
+/// Returns the bytes of the request and of its reply.
 std::pair<std::uint64_t, std::uint64_t> echo(const std::string& zone, const std::string& text) {
     peer_pair pair(in_zone("client", "a"), in_zone("server", zone));
     call_result call(pair.loop);
     call.start(*pair.client, "server", pair.address(), echo_method, text);
     call.wait();
     cr_assert(call.ok(), "%s", call.text().c_str());
-    cr_assert(**call.result == text, "the answer is what was sent");
+    cr_assert(**call.result == text, "the reply must equal the request");
     return {bytes_of(*pair.client), bytes_of(*pair.server)};
 }
 
 }  // namespace
 
-Test(frame_packing, gives_back_what_it_took) {
+Test(frame_packing, compressed_bytes_decompress_to_the_input) {
     for (const std::size_t size : {0, 1, 200, 5'000, 300'000}) {
         const std::string text = repeated(size);
-        if (const auto packed = pack_bytes(text); packed.has_value()) {
+        if (const auto packed = compress_bytes(text); packed.has_value()) {
             cr_assert(packed->size() < text.size());
-            cr_assert(*unpack_bytes(*packed, text.size()) == text);
+            cr_assert(*decompress_bytes(*packed, text.size()) == text);
         }
     }
-    cr_assert(pack_bytes(repeated(5'000)).has_value());
-    cr_assert(!pack_bytes(noise(5'000)).has_value(), "nothing to gain");
+    cr_assert(compress_bytes(repeated(5'000)).has_value());
+    cr_assert(!compress_bytes(noise(5'000)).has_value(), "random bytes must not be compressed");
 }
 
-Test(frame_packing, bad_input_is_refused_before_it_takes_memory) {
-    const std::string packed = *pack_bytes(std::string(1'000'000, 'x'));
+Test(frame_packing, invalid_input_is_rejected_without_allocation) {
+    const std::string packed = *compress_bytes(std::string(1'000'000, 'x'));
     cr_assert(packed.size() < 1'000);
-    cr_assert(base::details_of(unpack_bytes(packed, 999'999).status()).reason == "frame_too_large");
-    cr_assert(unpack_bytes(packed, 1'000'000).ok());
+    cr_assert(base::details_of(decompress_bytes(packed, 999'999).status()).reason ==
+              "frame_too_large");
+    cr_assert(decompress_bytes(packed, 1'000'000).ok());
     for (std::size_t size = 0; size < packed.size(); ++size) {
-        cr_assert(!unpack_bytes(packed.substr(0, size), 1'000'000).ok());
+        cr_assert(!decompress_bytes(packed.substr(0, size), 1'000'000).ok());
     }
     const std::string bytes = noise(2'000);
     for (std::size_t begin = 0; begin < bytes.size(); begin += 40) {
-        cr_assert(!unpack_bytes(std::string_view(bytes).substr(begin), 1'000'000).ok());
+        cr_assert(!decompress_bytes(std::string_view(bytes).substr(begin), 1'000'000).ok());
     }
 }
 
-Test(frame_packing, only_frames_of_calls_come_packed) {
+Test(frame_packing, only_frames_of_calls_may_be_compressed) {
     const auto packed = [](const peer_frame& frame) {
         const std::string encoded = encode_frame(frame);
         return peer_frame{.kind = static_cast<std::uint8_t>(frame_kind::packed),
-                          .payload = *pack_bytes(encoded.substr(frame_prefix_bytes))};
+                          .payload = *compress_bytes(encoded.substr(frame_prefix_bytes))};
     };
     peer_frame frame{.kind = static_cast<std::uint8_t>(frame_kind::request),
                      .call = 7,
                      .payload = repeated(1'000)};
-    const auto taken = unpacked_frame(packed(frame), 10'000);
-    cr_assert(taken.ok() && taken->call == 7 && taken->payload == frame.payload);
-    cr_assert(!unpacked_frame(packed(frame), 500).ok(), "longer than a frame may be");
+    const auto inner = decompress_frame(packed(frame), 10'000);
+    cr_assert(inner.ok() && inner->call == 7 && inner->payload == frame.payload);
+    cr_assert(!decompress_frame(packed(frame), 500).ok(), "the frame exceeds the size limit");
     for (const frame_kind kind : {frame_kind::hello, frame_kind::cancel, frame_kind::probe,
-                                  frame_kind::probe_answer, frame_kind::packed}) {
+                                  frame_kind::probe_reply, frame_kind::packed}) {
         frame.kind = static_cast<std::uint8_t>(kind);
-        cr_assert(!unpacked_frame(packed(frame), 10'000).ok());
+        cr_assert(!decompress_frame(packed(frame), 10'000).ok());
     }
     frame.payload = "no packed bytes";
-    cr_assert(!unpacked_frame(frame, 10'000).ok());
+    cr_assert(!decompress_frame(frame, 10'000).ok());
 }
 
-Test(frame_packing, calls_to_another_zone_cost_fewer_bytes) {
+Test(frame_packing, cross_zone_calls_are_compressed) {
     const std::string text = repeated(20'000);
-    const auto [asked, answered] = echo("b", text);
-    cr_assert(asked < 1'000, "%d", static_cast<int>(asked));
-    cr_assert(answered < 1'000, "%d", static_cast<int>(answered));
+    const auto [request_bytes, reply_bytes] = echo("b", text);
+    cr_assert(request_bytes < 1'000, "%d", static_cast<int>(request_bytes));
+    cr_assert(reply_bytes < 1'000, "%d", static_cast<int>(reply_bytes));
 }
 
-Test(frame_packing, calls_within_a_zone_and_short_or_dense_ones_go_as_they_are) {
+Test(frame_packing, local_short_or_incompressible_calls_are_not_compressed) {
     const auto near = echo("a", repeated(20'000));
     cr_assert(near.first > 20'000 && near.second > 20'000);
     const std::string dense = noise(4'000);
--- a/tests/unit/net/held_bytes_test.cc
+++ b/tests/unit/net/held_bytes_test.cc
@@ -18,15 +18,15 @@
 constexpr std::size_t kilobyte = 1024;
 constexpr std::size_t megabyte = 1024 * kilobyte;
 
-class fake_holder final : public held_bytes::holder {
+class fake_owner final : public held_bytes::holder {
   public:
-    fake_holder(held_bytes& ledger, std::size_t bytes, base::instant progressed)
-        : ledger(ledger), bytes(bytes), progressed(progressed) {
+    fake_owner(held_bytes& ledger, std::size_t bytes, base::instant last_progress)
+        : ledger(ledger), bytes(bytes), last_progress(last_progress) {
         ledger.add(holding::answers, bytes);
         ledger.join(*this);
     }
     std::size_t held() const override { return this->bytes; }
-    base::instant progressed_at() const override { return this->progressed; }
+    base::instant progressed_at() const override { return this->last_progress; }
     void cut_off() override {
         this->ledger.remove(holding::answers, std::exchange(this->bytes, 0));
         this->is_cut_off = true;
@@ -34,28 +34,28 @@
 
     held_bytes& ledger;
     std::size_t bytes;
-    base::instant progressed;
+    base::instant last_progress;
     bool is_cut_off = false;
 };
 
 }  // namespace
 
-Test(held_bytes, the_largest_that_makes_no_progress_goes_first) {
+Test(held_bytes, largest_stalled_owner_is_cut_off_first) {
     const base::instant now{base::seconds{100}};
     held_bytes ledger({.bound = 100}, [now] { return now; });
-    fake_holder busy(ledger, 70, now);
-    fake_holder stalled(ledger, 20, now - base::seconds{1});
-    fake_holder stalled_more(ledger, 40, now - base::seconds{1});
+    fake_owner busy(ledger, 70, now);
+    fake_owner stalled(ledger, 20, now - base::seconds{1});
+    fake_owner larger_stalled(ledger, 40, now - base::seconds{1});
     ledger.enforce();
-    cr_assert(stalled_more.is_cut_off && !stalled.is_cut_off && !busy.is_cut_off);
+    cr_assert(larger_stalled.is_cut_off && !stalled.is_cut_off && !busy.is_cut_off);
     cr_assert(ledger.cut_off_count() == 1 && ledger.total() == 90);
-    fake_holder more(ledger, 60, now);
+    fake_owner more(ledger, 60, now);
     ledger.enforce();
-    cr_assert(stalled.is_cut_off, "a stalled one before a larger one that reads");
-    cr_assert(busy.is_cut_off && !more.is_cut_off, "and then the largest");
+    cr_assert(stalled.is_cut_off, "a stalled owner must go before a larger one with progress");
+    cr_assert(busy.is_cut_off && !more.is_cut_off, "the largest owner must go next");
 }
 
-Test(held_bytes, large_bodies_are_let_in_up_to_a_part_and_small_ones_up_to_the_bound) {
+Test(held_bytes, large_bodies_are_rejected_before_small_ones) {
     held_bytes ledger({.bound = 10 * megabyte});
     cr_assert(ledger.admits(4 * megabyte));
     ledger.add(holding::answers, 6 * megabyte);
@@ -67,17 +67,17 @@
     cr_assert(unbounded.admits(100 * megabyte));
 }
 
-Test(held_bytes, the_share_of_one_shrinks_as_less_is_free) {
+Test(held_bytes, share_shrinks_with_free_bytes) {
     held_bytes ledger({.bound = 16 * megabyte});
     cr_assert(ledger.share() == megabyte);
     ledger.add(holding::answers, 8 * megabyte);
     cr_assert(ledger.share() == megabyte / 2);
     ledger.add(holding::answers, 9 * megabyte);
-    cr_assert(ledger.share() == 16 * kilobyte, "some bytes at least, so that an answer goes on");
+    cr_assert(ledger.share() == 16 * kilobyte, "the share must not fall below the minimum");
 }
 
-// However many take their share as long as it is one, all together stay within the bound.
-Test(held_bytes, shares_of_many_never_pass_the_bound) {
+// Guards against many owners that exceed the bound together although each stays within its share.
+Test(held_bytes, shares_of_many_owners_stay_within_bound) {
     held_bytes ledger({.bound = 29 * megabyte});
     std::vector<std::size_t> held(200, 0);
     for (int round = 0; round < 2'000; ++round) {
@@ -92,7 +92,7 @@
     cr_assert(ledger.total() > 20 * megabyte, "%zu bytes", ledger.total());
 }
 
-Test(held_bytes, what_a_client_does_not_take_is_counted_and_given_back) {
+Test(held_bytes, unread_response_bytes_are_counted_until_read) {
     event_loop loop;
     const auto ledger = std::make_shared<held_bytes>(held_bytes_options{.bound = 64 * megabyte});
     http_server_options options;
@@ -115,14 +115,15 @@
     cr_assert(ledger->total() == 0);
 }
 
-// Clients that read nothing are ended one after the other, before the others notice.
-Test(held_bytes, clients_that_take_nothing_are_cut_off_at_the_bound) {
+// Guards against clients that read nothing and use up the memory of the node. They are disconnected
+// one after another, and other clients are unaffected.
+Test(held_bytes, clients_that_read_nothing_are_cut_off_at_bound) {
     event_loop loop;
     const auto ledger = std::make_shared<held_bytes>(
         held_bytes_options{.bound = 16 * megabyte, .stalled_after = base::milliseconds{50}});
     http_server_options options;
     options.held = ledger;
-    std::list<std::shared_ptr<http_exchange>> answered;
+    std::list<std::shared_ptr<http_exchange>> exchanges;
     std::vector<std::string> reasons;
     const auto server = serve(
         loop,
@@ -136,7 +137,7 @@
                 reasons.push_back(weak.lock()->lost_reason());
             });
             exchange->write(std::string(8 * megabyte, 'x'));
-            answered.push_back(exchange);
+            exchanges.push_back(exchange);
         },
         options);
     std::list<raw_client> slow;
@@ -144,18 +145,18 @@
         slow.emplace_back(server->local_endpoint(), 4'096);
         slow.back().send("GET /large HTTP/1.1\r\nHost: a\r\n\r\n");
         run_for(loop, base::milliseconds{20});
-        cr_assert(ledger->total() <= 24 * megabyte, "one answer more than the bound, at most");
+        cr_assert(ledger->total() <= 24 * megabyte, "at most one response may exceed the bound");
     }
     cr_assert(run_until(loop, [&] { return !ledger->is_over(); }));
     cr_assert(ledger->cut_off_count() >= 6 && reasons.size() == ledger->cut_off_count(),
-              "%lu cut off, %zu told", ledger->cut_off_count(), reasons.size());
+              "%lu cut off, %zu notified", ledger->cut_off_count(), reasons.size());
     cr_assert(reasons.front() == "memory_bound");
     raw_client quick(server->local_endpoint());
     quick.send("GET /small HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(run_until(loop, [&] { return quick.has("small"); }));
 }
 
-Test(held_bytes, a_body_that_has_no_room_is_refused_before_it_is_read) {
+Test(held_bytes, body_over_bound_is_rejected_before_it_is_read) {
     event_loop loop;
     const auto ledger = std::make_shared<held_bytes>(held_bytes_options{.bound = 4 * megabyte});
     ledger->add(holding::answers, 3 * megabyte);
@@ -177,10 +178,11 @@
     small.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody");
     cr_assert(run_until(loop, [&] { return small.has("body"); }));
     ledger->remove(holding::answers, 3 * megabyte);
-    cr_assert(run_until(loop, [&] { return ledger->total() == 0; }), "a body counts until its end");
+    cr_assert(run_until(loop, [&] { return ledger->total() == 0; }),
+              "a body must be counted until its end");
 }
 
-Test(held_bytes, an_answer_that_is_paused_goes_on_whole) {
+Test(held_bytes, paused_response_resumes_completely) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>& exchange) {
         exchange->respond({.status = 200, .headers = {}, .body = std::string(8 * megabyte, 'x')});
@@ -203,7 +205,7 @@
     run_for(loop, base::milliseconds{50});
     const std::size_t before = received;
     run_for(loop, base::milliseconds{400});
-    cr_assert(received == before && !done, "nothing is read, and the idle time does not count");
+    cr_assert(received == before && !done, "a paused call must neither read nor time out");
     handle->resume();
     cr_assert(run_until(loop, [&] { return done; }));
     cr_assert(received == 8 * megabyte);
--- a/tests/unit/net/http_bad_input_test.cc
+++ b/tests/unit/net/http_bad_input_test.cc
@@ -13,13 +13,14 @@
 
 namespace {
 
-struct refused_request {
+struct rejected_request {
     std::string status_line;
     std::string bytes;
 };
 
-/// Sends the bytes and expects the status as a problem document, and the end of the connection.
-void expect_refused(event_loop& loop, const http_server& server, const refused_request& request) {
+/// Sends the bytes and expects a problem document with the status, followed by the end of the
+/// connection.
+void expect_rejected(event_loop& loop, const http_server& server, const rejected_request& request) {
     raw_client client(server.local_endpoint());
     std::string_view rest = request.bytes;
     cr_assert(run_until(loop, [&] {
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-Test(http_bad_input, malformed_requests_get_400_and_never_reach_the_handler) {
+Test(http_bad_input, malformed_request_gets_400_without_reaching_the_handler) {
     event_loop loop;
     int handled = 0;
     const auto server = serve(loop, [&](const std::shared_ptr<http_exchange>& exchange) {
@@ -56,12 +57,12 @@
         head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n",
     };
     for (const std::string& input : inputs) {
-        expect_refused(loop, *server, {"400", input});
+        expect_rejected(loop, *server, {"400", input});
     }
     cr_assert(handled == 0);
 }
 
-Test(http_bad_input, oversized_parts_get_431_and_413) {
+Test(http_bad_input, oversized_header_gets_431_and_oversized_body_413) {
     event_loop loop;
     http_server_options options;
     options.max_header_bytes = 1024;
@@ -78,35 +79,35 @@
     for (int index = 0; index < 40; ++index) {
         chunks += "400\r\n" + std::string(1024, 'x') + "\r\n";
     }
-    expect_refused(loop, *server, {"431", head + "X: " + std::string(100'000, 'x') + "\r\n\r\n"});
-    expect_refused(loop, *server, {"431", "GET /" + std::string(100'000, 'x')});
-    expect_refused(loop, *server, {"431", many_headers + "\r\n"});
-    expect_refused(loop, *server, {"413", head + "Content-Length: 4097\r\n\r\n"});
-    expect_refused(
+    expect_rejected(loop, *server, {"431", head + "X: " + std::string(100'000, 'x') + "\r\n\r\n"});
+    expect_rejected(loop, *server, {"431", "GET /" + std::string(100'000, 'x')});
+    expect_rejected(loop, *server, {"431", many_headers + "\r\n"});
+    expect_rejected(loop, *server, {"413", head + "Content-Length: 4097\r\n\r\n"});
+    expect_rejected(
         loop, *server,
         {"413", head + "Content-Length: 99999999999\r\n\r\n" + std::string(70'000, 'x')});
-    expect_refused(loop, *server, {"413", chunks});
+    expect_rejected(loop, *server, {"413", chunks});
     cr_assert(handled == 0);
 }
 
-Test(http_bad_input, a_request_that_never_ends_is_cut_off) {
+Test(http_bad_input, incomplete_request_times_out) {
     event_loop loop;
     http_server_options options;
     options.request_timeout = milliseconds(100);
     const auto server = serve(loop, echo, options);
-    raw_client begun(server->local_endpoint());
-    raw_client silent(server->local_endpoint());
+    raw_client partial_request(server->local_endpoint());
+    raw_client no_request(server->local_endpoint());
     raw_client served(server->local_endpoint());
-    begun.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf");
+    partial_request.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf");
     served.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    cr_assert(
-        run_until(loop, [&] { return begun.closed() && silent.closed() && served.closed(); }));
-    cr_assert(begun.has("HTTP/1.1 408"));
-    cr_assert(silent.received.empty());
+    cr_assert(run_until(
+        loop, [&] { return partial_request.closed() && no_request.closed() && served.closed(); }));
+    cr_assert(partial_request.has("HTTP/1.1 408"));
+    cr_assert(no_request.received.empty());
     cr_assert(served.has("HTTP/1.1 200"));
 }
 
-Test(http_bad_input, connections_beyond_the_limit_are_refused) {
+Test(http_bad_input, connections_over_the_limit_are_rejected) {
     event_loop loop;
     http_server_options options;
     options.max_connections = 2;
@@ -126,104 +127,105 @@
     cr_assert(run_until(loop, [&] { return fourth.has("HTTP/1.1 200"); }));
 }
 
-Test(http_bad_input, a_reader_too_slow_for_the_queue_is_cut_off) {
+Test(http_bad_input, reader_with_full_queue_is_cut_off) {
     event_loop loop;
     http_server_options options;
     options.max_pending_bytes = 1024 * 1024;
-    std::shared_ptr<http_exchange> held;
-    bool gone = false;
-    std::size_t most_pending = 0;
+    std::shared_ptr<http_exchange> open_exchange;
+    bool disconnected = false;
+    std::size_t max_pending = 0;
     const auto server = serve(
         loop,
         [&](std::shared_ptr<http_exchange> exchange) {
-            held = std::move(exchange);
-            held->on_closed([&] { gone = true; });
-            held->start_stream(200, {});
+            open_exchange = std::move(exchange);
+            open_exchange->on_closed([&] { disconnected = true; });
+            open_exchange->start_stream(200, {});
         },
         options);
     raw_client client(server->local_endpoint(), 4096);
     client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    cr_assert(run_until(loop, [&] { return held != nullptr; }));
+    cr_assert(run_until(loop, [&] { return open_exchange != nullptr; }));
     cr_assert(run_until(loop, [&] {
-        held->write(std::string(64 * 1024, 'x'));
-        most_pending = std::max(most_pending, held->pending_bytes());
-        return gone;
+        open_exchange->write(std::string(64 * 1024, 'x'));
+        max_pending = std::max(max_pending, open_exchange->pending_bytes());
+        return disconnected;
     }));
-    cr_assert(most_pending <= options.max_pending_bytes);
-    cr_assert(held->pending_bytes() == 0);
+    cr_assert(max_pending <= options.max_pending_bytes);
+    cr_assert(open_exchange->pending_bytes() == 0);
     cr_assert(server->open_exchanges() == 0);
 }
 
-Test(http_bad_input, a_reader_that_takes_nothing_is_cut_off_in_time) {
+Test(http_bad_input, reader_without_progress_times_out) {
     event_loop loop;
     http_server_options options;
     options.write_timeout = milliseconds(100);
-    bool gone = false;
-    std::shared_ptr<http_exchange> held;
+    bool disconnected = false;
+    std::shared_ptr<http_exchange> open_exchange;
     const auto server = serve(
         loop,
         [&](std::shared_ptr<http_exchange> exchange) {
-            held = std::move(exchange);
-            held->on_closed([&] { gone = true; });
-            held->start_stream(200, {});
-            held->write(std::string(12 * 1024 * 1024, 'x'));
+            open_exchange = std::move(exchange);
+            open_exchange->on_closed([&] { disconnected = true; });
+            open_exchange->start_stream(200, {});
+            open_exchange->write(std::string(12 * 1024 * 1024, 'x'));
         },
         options);
     raw_client client(server->local_endpoint(), 4096);
     client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    cr_assert(run_until(loop, [&] { return gone; }));
+    cr_assert(run_until(loop, [&] { return disconnected; }));
 }
 
-Test(http_bad_input, a_client_that_leaves_is_noticed_while_it_waits_and_in_the_stream) {
+Test(http_bad_input, disconnect_is_detected_before_and_during_a_stream) {
     for (const bool streaming : {false, true}) {
         event_loop loop;
-        std::shared_ptr<http_exchange> held;
-        int gone = 0;
+        std::shared_ptr<http_exchange> open_exchange;
+        int disconnected = 0;
         const auto server = serve(loop, [&](std::shared_ptr<http_exchange> exchange) {
-            held = std::move(exchange);
-            held->on_closed([&] { ++gone; });
+            open_exchange = std::move(exchange);
+            open_exchange->on_closed([&] { ++disconnected; });
             if (streaming) {
-                held->start_stream(200, {});
-                held->write("part");
+                open_exchange->start_stream(200, {});
+                open_exchange->write("part");
             }
         });
         raw_client client(server->local_endpoint());
         client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-        cr_assert(run_until(loop, [&] { return held != nullptr; }));
-        cr_assert(gone == 0);
+        cr_assert(run_until(loop, [&] { return open_exchange != nullptr; }));
+        cr_assert(disconnected == 0);
         client.close();
-        cr_assert(run_until(loop, [&] { return gone == 1; }));
-        held->write("ignored");
-        held->respond({});
-        held->finish();
+        cr_assert(run_until(loop, [&] { return disconnected == 1; }));
+        open_exchange->write("ignored");
+        open_exchange->respond({});
+        open_exchange->finish();
         run_for(loop, milliseconds(10));
-        cr_assert(gone == 1);
+        cr_assert(disconnected == 1);
         cr_assert(server->open_exchanges() == 0);
     }
 }
 
-Test(http_bad_input, bytes_sent_during_a_long_answer_are_bounded) {
+Test(http_bad_input, bytes_received_during_a_long_response_are_bounded) {
     event_loop loop;
-    std::shared_ptr<http_exchange> held;
-    const auto server =
-        serve(loop, [&](std::shared_ptr<http_exchange> exchange) { held = std::move(exchange); });
+    std::shared_ptr<http_exchange> open_exchange;
+    const auto server = serve(loop, [&](std::shared_ptr<http_exchange> exchange) {
+        open_exchange = std::move(exchange);
+    });
     raw_client client(server->local_endpoint());
     client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    cr_assert(run_until(loop, [&] { return held != nullptr; }));
-    // Once the server stops reading, the kernel's buffers fill up and nothing more is taken.
+    cr_assert(run_until(loop, [&] { return open_exchange != nullptr; }));
+    // Once the server stops reading, the kernel buffers fill up and no more bytes are accepted.
     const std::string flood(256 * 1024, 'x');
     int full = 0;
     std::size_t sent = 0;
     cr_assert(run_until(loop, [&] {
-        const std::size_t taken = client.send(flood);
-        sent += taken;
-        full = taken == 0 ? full + 1 : 0;
+        const std::size_t accepted = client.send(flood);
+        sent += accepted;
+        full = accepted == 0 ? full + 1 : 0;
         return full > 50;
     }));
-    cr_assert(sent < 64 * 1024 * 1024, "%zu bytes were taken", sent);
+    cr_assert(sent < 64 * 1024 * 1024, "%zu bytes were accepted", sent);
 }
 
-Test(http_bad_input, bodies_on_the_way_share_a_bound) {
+Test(http_bad_input, incomplete_bodies_share_a_bound) {
     event_loop loop;
     http_server_options options;
     options.max_receiving_bytes = 100'000;
@@ -246,7 +248,7 @@
     cr_assert(refused.has("HTTP/1.1 503"));
     slow.send("x");
     cr_assert(run_until(loop, [&] { return slow.has("HTTP/1.1 200"); }));
-    // What was received counts no longer.
+    // Received bytes of ended connections are no longer counted.
     raw_client later(server->local_endpoint());
     later.send(head + body);
     cr_assert(run_until(loop, [&] { return later.has("HTTP/1.1 200"); }));
--- a/tests/unit/net/http_client_test.cc
+++ b/tests/unit/net/http_client_test.cc
@@ -14,24 +14,24 @@
     base::error_details details;
 };
 
-/// Fetches from a server that waits for `until` in the request, then sends `answer` and, if asked
-/// to, closes.
-failed_fetch fetch_badly(event_loop& loop, http_call call, raw_server& server,
-                         const std::string& answer, bool then_close) {
+/// Fetches from a server that waits until the request contains `until`, sends `response_bytes`, and
+/// closes the connection if requested.
+failed_fetch expect_failed_fetch(event_loop& loop, http_call call, raw_server& server,
+                                 const std::string& response_bytes, bool close_afterwards) {
     const auto client = make_http_client(loop);
     absl::Status status;
     bool done = false;
-    bool answered = false;
+    bool response_sent = false;
     call.server = server.local_endpoint();
     client->fetch(std::move(call), [&](const absl::StatusOr<http_response>& response) {
         status = response.status();
         done = true;
     });
     cr_assert(run_until(loop, [&] {
-        if (!answered && server.has("\r\n\r\n")) {
-            answered = true;
-            server.send(answer);
-            if (then_close) {
+        if (!response_sent && server.has("\r\n\r\n")) {
+            response_sent = true;
+            server.send(response_bytes);
+            if (close_afterwards) {
                 server.close_connection();
             }
         }
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-Test(http_client, a_refused_connection_was_surely_not_executed) {
+Test(http_client, refused_connection_reports_not_executed) {
     event_loop loop;
     const auto client = make_http_client(loop);
     endpoint closed;
@@ -59,13 +59,13 @@
     cr_assert(details.was_executed == base::executed::no);
 }
 
-Test(http_client, bad_answers_are_reported_with_their_reason) {
-    struct bad_answer {
+Test(http_client, invalid_response_fails_with_its_reason) {
+    struct invalid_response {
         std::string bytes;
         std::string reason;
     };
     const std::string head = "HTTP/1.1 200 OK\r\n";
-    const bad_answer answers[] = {
+    const invalid_response invalid_responses[] = {
         {"nonsense\r\n\r\n", "malformed_response"},
         {head + "Content-Length: 10\r\n\r\nhalf", "connection_lost"},
         {head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhal", "connection_lost"},
@@ -74,37 +74,38 @@
         {head + "X: " + std::string(100'000, 'x'), "malformed_response"},
         {"", "connection_lost"},
     };
-    for (const bad_answer& answer : answers) {
+    for (const invalid_response& response_bytes : invalid_responses) {
         event_loop loop;
         raw_server server;
         auto call = get({});
         call.max_body_bytes = 1000;
-        const auto failed = fetch_badly(loop, std::move(call), server, answer.bytes, true);
-        cr_assert(failed.details.reason == answer.reason, "%s for %s",
-                  failed.details.reason.c_str(), answer.bytes.substr(0, 60).c_str());
+        const auto failed =
+            expect_failed_fetch(loop, std::move(call), server, response_bytes.bytes, true);
+        cr_assert(failed.details.reason == response_bytes.reason, "%s for %s",
+                  failed.details.reason.c_str(), response_bytes.bytes.substr(0, 60).c_str());
         cr_assert(failed.details.was_executed == base::executed::unknown);
         cr_assert(failed.details.step == "read");
     }
 }
 
-Test(http_client, gives_up_on_silence) {
+Test(http_client, unresponsive_server_times_out) {
     event_loop loop;
     raw_server server;
     auto call = get({});
     call.head_timeout = milliseconds(50);
-    auto failed = fetch_badly(loop, call, server, "", false);
+    auto failed = expect_failed_fetch(loop, call, server, "", false);
     cr_assert(failed.status.code() == absl::StatusCode::kDeadlineExceeded);
     cr_assert(failed.details.reason == "head_timeout");
     cr_assert(failed.details.was_executed == base::executed::unknown);
     server.close_connection();
     call.head_timeout = milliseconds(10'000);
     call.idle_timeout = milliseconds(50);
-    failed =
-        fetch_badly(loop, call, server, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", false);
+    failed = expect_failed_fetch(loop, call, server,
+                                 "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", false);
     cr_assert(failed.details.reason == "idle_timeout");
 }
 
-Test(http_client, only_a_get_is_sent_again_when_a_kept_connection_breaks) {
+Test(http_client, only_get_is_retried_after_reused_connection_breaks) {
     for (const std::string method : {"GET", "POST"}) {
         event_loop loop;
         raw_server server;
@@ -113,9 +114,9 @@
         std::optional<absl::StatusOr<http_response>> second;
         client->fetch(get(server.local_endpoint()),
                       [&](const absl::StatusOr<http_response>&) { first = true; });
-        const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        const std::string response_bytes = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         cr_assert(run_until(loop, [&] { return server.has("\r\n\r\n"); }));
-        server.send(answer);
+        server.send(response_bytes);
         cr_assert(run_until(loop, [&] { return first; }));
         server.received.clear();
         auto call = get(server.local_endpoint());
@@ -123,13 +124,13 @@
         client->fetch(std::move(call), [&](absl::StatusOr<http_response> response) {
             second = std::move(response);
         });
-        // The kept connection takes the request and closes without an answer.
+        // The server accepts the request on the reused connection and closes without a response.
         cr_assert(run_until(loop, [&] { return server.has("\r\n\r\n"); }));
         cr_assert(server.accepted == 1);
         server.close_connection();
         cr_assert(run_until(loop, [&] {
             if (!second.has_value() && server.has("\r\n\r\n")) {
-                server.send(answer);
+                server.send(response_bytes);
                 server.received.clear();
             }
             return second.has_value();
@@ -151,17 +152,17 @@
     raw_server server;
     const auto client = make_http_client(loop);
     bool allowed = true;
-    std::optional<absl::Status> ended;
+    std::optional<absl::Status> final_status;
     auto call = get(server.local_endpoint());
     call.may_send = [&] { return allowed; };
-    const auto handle =
-        client->start(std::move(call), {.on_done = [&](absl::Status status) { ended = status; }});
+    const auto handle = client->start(
+        std::move(call), {.on_done = [&](absl::Status status) { final_status = status; }});
     allowed = false;
-    cr_assert(run_until(loop, [&] { return ended.has_value(); }));
+    cr_assert(run_until(loop, [&] { return final_status.has_value(); }));
     run_for(loop, milliseconds(20));
     server.accept();
     cr_assert(!server.has("G"), "%s", server.received.c_str());
-    const auto details = base::details_of(*ended);
+    const auto details = base::details_of(*final_status);
     cr_assert(details.reason == withdrawn_reason, "%s", details.reason.c_str());
     cr_assert(details.was_executed == base::executed::no);
 }
@@ -178,24 +179,24 @@
     cr_assert(run_until(loop, [&] { return first; }));
     server.received.clear();
     bool allowed = true;
-    std::optional<absl::Status> ended;
+    std::optional<absl::Status> final_status;
     auto call = get(server.local_endpoint());
     call.may_send = [&] { return allowed; };
-    const auto handle =
-        client->start(std::move(call), {.on_done = [&](absl::Status status) { ended = status; }});
+    const auto handle = client->start(
+        std::move(call), {.on_done = [&](absl::Status status) { final_status = status; }});
     cr_assert(run_until(loop, [&] { return server.has("\r\n\r\n"); }));
     server.received.clear();
     allowed = false;
     server.close_connection();
-    cr_assert(run_until(loop, [&] { return ended.has_value(); }));
+    cr_assert(run_until(loop, [&] { return final_status.has_value(); }));
     run_for(loop, milliseconds(20));
     server.accept();
     cr_assert(!server.has("G"));
-    // The broken connection may have delivered it.
-    cr_assert(base::details_of(*ended).was_executed == base::executed::unknown);
+    // The request may have been delivered on the broken connection.
+    cr_assert(base::details_of(*final_status).was_executed == base::executed::unknown);
 }
 
-Test(http_client, cancelling_closes_the_connection_and_ends_callbacks) {
+Test(http_client, cancelled_call_closes_connection_and_runs_no_callbacks) {
     event_loop loop;
     raw_server server;
     const auto client = make_http_client(loop);
@@ -220,7 +221,7 @@
     cr_assert(ends == 0);
 }
 
-Test(http_client, reads_a_body_that_ends_with_the_connection_and_early_hints) {
+Test(http_client, body_until_close_and_early_hints_are_read) {
     event_loop loop;
     raw_server server;
     const auto client = make_http_client(loop);
@@ -237,7 +238,7 @@
     cr_assert((*result)->body == "until the end");
 }
 
-Test(http_client, a_destroyed_client_runs_no_callbacks) {
+Test(http_client, destroyed_client_runs_no_callbacks) {
     event_loop loop;
     raw_server server;
     auto client = make_http_client(loop);
@@ -253,35 +254,36 @@
     cr_assert(!called);
 }
 
-// A connection to a process that has gone without a word takes a request, which is then lost.
-Test(http_client, a_connection_to_an_earlier_process_at_the_address_is_not_used_again) {
+// Guards against the loss of a request that is sent on a connection to a process that vanished
+// without closing it.
+Test(http_client, connection_to_earlier_incarnation_is_not_reused) {
     event_loop loop;
     raw_server server;
     const auto client = make_http_client(loop);
-    const auto call_run = [&](std::uint64_t run) {
+    const auto call_incarnation = [&](std::uint64_t run) {
         auto call = get(server.local_endpoint());
         call.server_run = run;
         bool done = false;
-        bool answered = false;
+        bool response_sent = false;
         client->fetch(std::move(call), [&](const absl::StatusOr<http_response>& response) {
             cr_assert(response.ok());
             done = true;
         });
         cr_assert(run_until(loop, [&] {
             server.accept();
-            if (!answered && server.has("\r\n\r\n")) {
-                answered = true;
+            if (!response_sent && server.has("\r\n\r\n")) {
+                response_sent = true;
                 server.received.clear();
                 server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
             return done;
         }));
     };
-    call_run(1);
-    call_run(1);
-    cr_assert(server.accepted == 1, "one connection for both");
-    call_run(2);
-    cr_assert(server.accepted == 2, "the next process has its own");
-    call_run(2);
+    call_incarnation(1);
+    call_incarnation(1);
+    cr_assert(server.accepted == 1, "both calls must share one connection");
+    call_incarnation(2);
+    cr_assert(server.accepted == 2, "the next incarnation must get a new connection");
+    call_incarnation(2);
     cr_assert(server.accepted == 2);
 }
--- a/tests/unit/net/http_fixture.h
+++ b/tests/unit/net/http_fixture.h
@@ -1,4 +1,4 @@
-/// Helpers of the HTTP tests.
+/// Helpers for the HTTP tests.
 #pragma once
 
 #include <memory>
--- a/tests/unit/net/http_test.cc
+++ b/tests/unit/net/http_test.cc
@@ -8,7 +8,7 @@
 using namespace pearbarrow::net;
 using namespace pearbarrow::net::testing;
 
-Test(http, answers_requests_on_one_connection) {
+Test(http, requests_share_one_connection) {
     event_loop loop;
     const auto server = serve(loop, echo);
     const auto client = make_http_client(loop);
@@ -25,31 +25,31 @@
     }
 }
 
-Test(http, streams_chunks_as_they_are_written) {
+Test(http, chunks_are_streamed_when_written) {
     event_loop loop;
-    std::shared_ptr<http_exchange> held;
+    std::shared_ptr<http_exchange> open_exchange;
     const auto server = serve(loop, [&](std::shared_ptr<http_exchange> exchange) {
-        held = std::move(exchange);
-        held->start_stream(200, {{"Content-Type", "text/event-stream"}});
-        held->write("one");
+        open_exchange = std::move(exchange);
+        open_exchange->start_stream(200, {{"Content-Type", "text/event-stream"}});
+        open_exchange->write("one");
     });
     const auto client = make_http_client(loop);
-    std::string seen;
+    std::string received;
     bool done = false;
     const auto handle =
         client->start({.server = server->local_endpoint(), .method = "GET", .target = "/"},
-                      {.on_chunk = [&](std::string_view chunk) { seen.append(chunk); },
+                      {.on_chunk = [&](std::string_view chunk) { received.append(chunk); },
                        .on_done = [&](const absl::Status& status) { done = status.ok(); }});
-    cr_assert(run_until(loop, [&] { return seen == "one"; }));
+    cr_assert(run_until(loop, [&] { return received == "one"; }));
     cr_assert(!done);
-    held->write("two");
-    held->finish();
+    open_exchange->write("two");
+    open_exchange->finish();
     cr_assert(run_until(loop, [&] { return done; }));
-    cr_assert(seen == "onetwo");
+    cr_assert(received == "onetwo");
     cr_assert(server->open_exchanges() == 0);
 }
 
-Test(http, a_dropped_exchange_answers_500) {
+Test(http, dropped_exchange_gets_500) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>&) {});
     const auto client = make_http_client(loop);
@@ -60,7 +60,7 @@
     cr_assert(server->open_exchanges() == 0);
 }
 
-Test(http, a_dropped_stream_is_seen_as_broken) {
+Test(http, dropped_stream_is_reported_as_incomplete) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>& exchange) {
         exchange->start_stream(200, {});
@@ -72,7 +72,7 @@
     cr_assert(server->open_exchanges() == 0);
 }
 
-Test(http, answers_requests_that_arrive_together_one_after_another) {
+Test(http, pipelined_requests_are_processed_in_order) {
     event_loop loop;
     const auto server = serve(loop, echo);
     raw_client client(server->local_endpoint());
@@ -81,7 +81,7 @@
     cr_assert(client.received.find("X-Target: /1") < client.received.find("X-Target: /2"));
 }
 
-Test(http, a_head_request_gets_no_body) {
+Test(http, head_request_gets_no_body) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>& exchange) {
         exchange->respond({.status = 200, .body = "body"});
@@ -97,7 +97,7 @@
     }
 }
 
-Test(http, tells_a_client_that_expects_it_to_continue) {
+Test(http, expect_header_gets_100_continue) {
     event_loop loop;
     const auto server = serve(loop, echo);
     raw_client client(server->local_endpoint());
@@ -107,7 +107,7 @@
     cr_assert(run_until(loop, [&] { return client.has("\r\n\r\nbody"); }));
 }
 
-Test(http, streams_to_an_old_client_until_the_connection_closes) {
+Test(http, http_1_0_stream_ends_with_the_connection) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>& exchange) {
         exchange->start_stream(200, {});
@@ -121,7 +121,7 @@
     cr_assert(client.has("\r\n\r\nplain"));
 }
 
-Test(http, a_header_value_cannot_add_lines) {
+Test(http, header_value_cannot_inject_lines) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>& exchange) {
         exchange->respond({.headers = {{"X-Bad", "a\r\nX-Injected: b"}}});
@@ -132,27 +132,28 @@
     cr_assert(!response->headers.find("x-injected").has_value());
 }
 
-Test(http, stopping_closes_idle_connections_and_finishes_answers) {
+Test(http, stopping_closes_idle_connections_and_finishes_responses) {
     event_loop loop;
-    std::shared_ptr<http_exchange> held;
-    const auto server =
-        serve(loop, [&](std::shared_ptr<http_exchange> exchange) { held = std::move(exchange); });
+    std::shared_ptr<http_exchange> open_exchange;
+    const auto server = serve(loop, [&](std::shared_ptr<http_exchange> exchange) {
+        open_exchange = std::move(exchange);
+    });
     const endpoint address = server->local_endpoint();
     raw_client idle(address);
     raw_client waiting(address);
     waiting.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    cr_assert(run_until(loop, [&] { return held != nullptr; }));
+    cr_assert(run_until(loop, [&] { return open_exchange != nullptr; }));
     server->stop_accepting();
     cr_assert(run_until(loop, [&] { return idle.closed(); }));
     cr_assert(!waiting.closed());
-    held->respond({.body = "late"});
+    open_exchange->respond({.body = "late"});
     cr_assert(run_until(loop, [&] { return waiting.closed(); }));
     cr_assert(waiting.has("Connection: close"));
     cr_assert(waiting.has("late"));
     cr_assert(!raw_client(address).connected());
 }
 
-Test(http, reads_query_parameters) {
+Test(http, query_parameters_are_decoded) {
     http_request request;
     request.target = "/path?a=1%202&b=%zz&c&d=x+y";
     cr_assert(request.path() == "/path");
--- a/tests/unit/net/net_benchmark.cc
+++ b/tests/unit/net/net_benchmark.cc
@@ -1,6 +1,6 @@
-/// Requests a second and latency of HTTP keep-alive and of peer calls over loopback, client and
-/// server on their own threads. Not a test. Usage: net_benchmark [seconds] [callers] [payload
-/// bytes]
+/// Requests per second and latency of HTTP keep-alive connections and of peer calls over loopback.
+/// Client and server run on separate threads. This program is not a test. Usage: net_benchmark
+/// [seconds] [callers] [payload bytes]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -31,10 +31,10 @@
     return base::system_clock_source().now();
 }
 
-/// Keeps `callers` requests under way until the time is over, then prints the figures.
+/// Keeps `callers` requests in flight until the time is over, then prints the results.
 class load_generator {
   public:
-    /// Sends one request and calls `done` with its success.
+    /// Sends one request and calls `done` with whether it succeeded.
     using request = std::function<void(std::function<void(bool)> done)>;
 
     load_generator(event_loop& loop, const settings& chosen, request send)
@@ -63,15 +63,15 @@
 
   private:
     void next() {
-        ++under_way_;
+        ++in_flight_;
         send_([this, begin = now()](bool ok) {
             const auto end = now();
             latencies_.push_back((end - begin).count());
             failed_ += ok ? 0 : 1;
-            --under_way_;
+            --in_flight_;
             if (end < end_) {
                 next();
-            } else if (under_way_ == 0) {
+            } else if (in_flight_ == 0) {
                 loop_.stop();
             }
         });
@@ -82,11 +82,11 @@
     request send_;
     base::instant end_;
     std::vector<long> latencies_;
-    int under_way_ = 0;
+    int in_flight_ = 0;
     int failed_ = 0;
 };
 
-/// Runs a server's loop on a thread of its own.
+/// Runs the event loop of a server on a separate thread.
 class server_thread {
   public:
     explicit server_thread(event_loop& loop) : loop_(loop), thread_([&loop] { loop.run(); }) {}
@@ -148,11 +148,11 @@
         std::unique_ptr<peer_call_handle> handle;
     };
     load_generator generator(loop, chosen, [&](std::function<void(bool)> done) {
-        auto held = std::make_shared<slot>();
-        held->handle = client->call(
+        auto call = std::make_shared<slot>();
+        call->handle = client->call(
             base::node_id("server"), server->local_endpoint(), echo_method, payload,
             base::seconds(10),
-            {.on_done = [held, done = std::move(done)](const absl::StatusOr<std::string>& reply) {
+            {.on_done = [call, done = std::move(done)](const absl::StatusOr<std::string>& reply) {
                 done(reply.ok());
             }});
     });
--- a/tests/unit/net/net_fixture.h
+++ b/tests/unit/net/net_fixture.h
@@ -1,4 +1,5 @@
-/// Helpers of the network tests: a loop that runs until a condition holds, and a bare TCP client.
+/// Helpers for the network tests: an event loop that runs until a condition holds, and plain TCP
+/// clients and servers.
 #pragma once
 
 #include <arpa/inet.h>
@@ -22,8 +23,8 @@
 
 inline const endpoint loopback{"127.0.0.1", 0};
 
-/// Runs the loop until `done` holds; false when it does not within the limit, which only a failing
-/// test reaches.
+/// Runs the event loop until `done` returns true. Returns false after the time limit, which only a
+/// failing test reaches.
 inline bool run_until(event_loop& loop, const std::function<bool()>& done,
                       std::chrono::milliseconds limit = std::chrono::seconds(20)) {
     const auto give_up = std::chrono::steady_clock::now() + limit;
@@ -36,13 +37,13 @@
     return done();
 }
 
-/// Runs the loop for a while, for tests that something does not happen.
+/// Runs the event loop for a fixed time, for tests that expect no event.
 inline void run_for(event_loop& loop, std::chrono::milliseconds time) {
     const auto timer = loop.after(time, [&] { loop.stop(); });
     loop.run();
 }
 
-/// A TCP client without any protocol.
+/// A plain TCP client.
 class raw_client {
   public:
     explicit raw_client(const endpoint& server, int receive_buffer = 0)
@@ -63,12 +64,12 @@
     ~raw_client() { close(); }
 
     bool connected() const { return connected_; }
-    /// Sends as much as the kernel takes; the number of bytes.
+    /// Sends as many bytes as the kernel accepts and returns their number.
     std::size_t send(std::string_view bytes) const {
         const auto sent = ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
         return sent < 0 ? 0 : static_cast<std::size_t>(sent);
     }
-    /// Takes what has arrived into `received`.
+    /// Appends the available bytes to `received`.
     void receive() {
         char buffer[65536];
         for (;;) {
@@ -80,7 +81,7 @@
             received.append(buffer, static_cast<std::size_t>(size));
         }
     }
-    /// Whether the server closed; takes what has arrived.
+    /// Receives the available bytes and returns whether the server closed the connection.
     bool closed() {
         receive();
         return closed_;
@@ -103,7 +104,7 @@
     bool closed_ = false;
 };
 
-/// A TCP server without any protocol: takes one connection at a time.
+/// A plain TCP server with one connection at a time.
 class raw_server {
   public:
     raw_server() : listener_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -125,7 +126,8 @@
     }
 
     const endpoint& local_endpoint() const { return local_; }
-    /// Takes a waiting connection, closing the earlier one; whether there was one.
+    /// Accepts a pending connection and closes the previous one. Returns false if no connection is
+    /// pending.
     bool accept() {
         const int socket = ::accept(listener_, nullptr, nullptr);
         if (socket < 0) {
@@ -137,7 +139,8 @@
         ++accepted;
         return true;
     }
-    /// Whether `text` has arrived on the present connection; accepts one first if there is none.
+    /// Whether the current connection has received `text`. Accepts a connection first if there is
+    /// none.
     bool has(std::string_view text) {
         if (socket_ < 0 && !accept()) {
             return false;
