--- a/tests/unit/net/peer_bad_input_test.cc
+++ b/tests/unit/net/peer_bad_input_test.cc
@@ -35,7 +35,7 @@
     return prefix;
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process in bytes.
 std::size_t resident_bytes() {
     std::size_t total = 0;
     std::size_t resident = 0;
@@ -48,7 +48,7 @@
     return resident * 4096;
 }
 
-/// A node that answers the link of `client` as the test says.
+/// A scripted node at the other end of a link from `client`.
 struct scripted_peer {
     explicit scripted_peer(peer_rpc_options options = options_of("client"))
         : client(make_peer_rpc(loop, std::move(options))), call(loop) {
@@ -57,7 +57,7 @@
     void start_call(milliseconds timeout = milliseconds(10'000)) {
         call.start(*client, "server", server.local_endpoint(), echo_method, "payload", timeout);
     }
-    /// Answers with `hello` when the client's has come.
+    /// Sends `hello` after the hello of the client has arrived.
     void exchange_hello(const std::string& hello) {
         cr_assert(run_until(loop, [&] { return server.has("client"); }));
         server.send(hello);
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-Test(peer_bad_input, a_server_closes_links_whose_hello_does_not_match) {
+Test(peer_bad_input, server_closes_link_on_mismatched_hello) {
     const std::string bad_hellos[] = {
         hello_of("caller", "other cluster"),
         hello_of("caller", "test", peer_protocol_version + 1),
@@ -84,17 +84,17 @@
         raw_client caller(pair.address());
         caller.send(hello + frame_of(frame_kind::request, "x", 1, hold_method));
         cr_assert(run_until(pair.loop, [&] { return caller.closed(); }));
-        // Its own hello came first, so that the other side can tell what does not match.
+        // The server sends its own hello first, so that the peer can identify the mismatch.
         cr_assert(caller.has("server"));
         cr_assert(pair.held.empty());
     }
 }
 
-Test(peer_bad_input, a_server_closes_links_on_frames_that_are_not_valid) {
+Test(peer_bad_input, server_closes_link_on_invalid_frame) {
     const std::string bad_frames[] = {
         length_prefix(3) + "\xc1\xc1\xc1",                          // not msgpack
         length_prefix(1) + "\x93",                                  // an array cut short
-        length_prefix(5) + std::string("\xdd\xff\xff\xff\xff", 5),  // 4 billion items
+        length_prefix(5) + std::string("\xdd\xff\xff\xff\xff", 5),  // an array of 4 billion items
         length_prefix(0),
         length_prefix(64 * 1024 * 1024) + "x",
         length_prefix(0xffffffff) + "x",
@@ -112,12 +112,12 @@
         raw_client caller(pair.address());
         caller.send(hello_of("caller") + frame_of(frame_kind::request, "", 1, hold_method) + bad);
         cr_assert(run_until(pair.loop, [&] { return caller.closed(); }));
-        cr_assert(!pair.held.empty(), "the valid request before it was taken");
+        cr_assert(!pair.held.empty(), "the preceding valid request must be accepted");
         cr_assert(pair.cancelled == static_cast<int>(pair.held.size()));
     }
 }
 
-Test(peer_bad_input, frames_are_taken_in_any_division) {
+Test(peer_bad_input, frames_are_decoded_from_pieces_of_any_size) {
     const std::string bytes =
         hello_of("caller") + frame_of(frame_kind::request, "abc", 1, echo_method);
     peer_pair pair;
@@ -132,7 +132,7 @@
     }
 }
 
-Test(peer_bad_input, a_link_that_ends_in_the_middle_of_a_frame_cancels_its_requests) {
+Test(peer_bad_input, link_closed_inside_a_frame_cancels_its_requests) {
     peer_pair pair;
     raw_client caller(pair.address());
     caller.send(hello_of("caller") + frame_of(frame_kind::request, "", 1, hold_method) +
@@ -142,7 +142,7 @@
     cr_assert(run_until(pair.loop, [&] { return pair.cancelled == 1; }));
 }
 
-Test(peer_bad_input, long_prefixes_reserve_no_memory) {
+Test(peer_bad_input, length_prefix_alone_allocates_no_memory) {
     peer_pair pair;
     const std::size_t before = resident_bytes();
     std::vector<std::unique_ptr<raw_client>> callers;
@@ -153,7 +153,8 @@
     }
     cr_assert(run_until(pair.loop, [&] { return callers.back()->has("server"); }));
     run_for(pair.loop, milliseconds(50));
-    // 50 promised frames are 800 MB; a sanitizer's own bookkeeping stays far below this bound.
+    // 50 announced frames amount to 800 MB. The memory overhead of a sanitizer stays far below this
+    // bound.
     cr_assert(resident_bytes() < before + 64 * 1024 * 1024);
     frame_decoder decoder(16 * 1024 * 1024);
     cr_assert(
@@ -162,7 +163,7 @@
     cr_assert(decoder.buffered_bytes() == 5);
 }
 
-Test(peer_bad_input, a_reader_of_replies_that_is_too_slow_is_cut_off) {
+Test(peer_bad_input, slow_reader_of_replies_is_cut_off) {
     auto options = options_of("server");
     options.max_queued_bytes = 512 * 1024;
     peer_pair pair(options_of("client"), options);
@@ -178,7 +179,7 @@
     cr_assert(sent < 64 * 1024 * 1024);
 }
 
-Test(peer_bad_input, a_caller_that_is_silent_before_its_hello_is_cut_off) {
+Test(peer_bad_input, caller_without_hello_is_cut_off) {
     auto options = options_of("server");
     options.connect_timeout = milliseconds(50);
     peer_pair pair(options_of("client"), options);
@@ -186,7 +187,7 @@
     cr_assert(run_until(pair.loop, [&] { return caller.closed(); }));
 }
 
-Test(peer_bad_input, calls_to_a_node_that_is_not_the_one_meant_are_surely_not_executed) {
+Test(peer_bad_input, call_to_wrong_node_reports_not_executed) {
     struct bad_hello {
         std::string bytes;
         std::string reason;
@@ -211,19 +212,19 @@
     }
 }
 
-Test(peer_bad_input, a_half_open_link_is_given_up) {
+Test(peer_bad_input, half_open_link_is_closed) {
     auto options = options_of("client");
     options.connect_timeout = milliseconds(50);
     options.silence_before_probe = milliseconds(20);
     options.silence_before_loss = milliseconds(60);
     {
-        scripted_peer script(options);  // takes the connection and says nothing
+        scripted_peer script(options);  // accepts the connection and sends nothing
         script.start_call();
         script.call.wait();
         cr_assert(script.call.details().reason == "hello_timeout");
         cr_assert(script.call.details().was_executed == base::executed::no);
     }
-    scripted_peer script(options);  // says hello and nothing more
+    scripted_peer script(options);  // sends hello and nothing else
     script.start_call();
     script.exchange_hello(hello_of("server"));
     script.call.wait();
@@ -231,7 +232,7 @@
     cr_assert(script.call.details().was_executed == base::executed::unknown);
 }
 
-Test(peer_bad_input, a_slow_answer_is_not_taken_for_silence) {
+Test(peer_bad_input, slow_reply_does_not_close_the_link) {
     auto options = options_of("client");
     options.silence_before_probe = milliseconds(20);
     options.silence_before_loss = milliseconds(500);
@@ -246,31 +247,31 @@
     cr_assert(call.ok(), "%s", call.text().c_str());
 }
 
-Test(peer_bad_input, bad_answers_end_the_calls_of_the_link) {
-    const std::string answers[] = {
+Test(peer_bad_input, invalid_reply_ends_the_calls_of_the_link) {
+    const std::string invalid_replies[] = {
         frame_of(frame_kind::error, "not an error", 1),
         frame_of(frame_kind::request, "", 1),
         length_prefix(2) + "\xc1\xc1",
     };
-    for (const std::string& answer : answers) {
+    for (const std::string& invalid_reply : invalid_replies) {
         scripted_peer script;
         script.start_call();
         script.exchange_hello(hello_of("server"));
         cr_assert(run_until(script.loop, [&] { return script.server.has("payload"); }));
-        // Answers to calls that are not there are ignored; they may have been cancelled.
-        script.server.send(frame_of(frame_kind::reply, "whose?", 99) + answer);
+        // Replies to unknown calls are ignored because the calls may have been cancelled.
+        script.server.send(frame_of(frame_kind::reply, "whose?", 99) + invalid_reply);
         script.call.wait();
         cr_assert(script.call.details().reason == "malformed_frame");
         cr_assert(script.call.details().was_executed == base::executed::unknown);
     }
 }
 
-Test(peer_bad_input, an_error_frame_never_becomes_success) {
+Test(peer_bad_input, error_frame_never_becomes_ok_status) {
     cr_assert(!to_status({.code = 0, .message = "ok?"}).ok());
     cr_assert(to_status({.code = 12345}).code() == absl::StatusCode::kUnknown);
 }
 
-Test(peer_bad_input, links_beyond_the_limit_are_closed) {
+Test(peer_bad_input, links_over_the_limit_are_closed) {
     auto options = options_of("server");
     options.max_inbound_links = 2;
     peer_pair pair(options_of("client"), options);
@@ -285,7 +286,7 @@
     cr_assert(!first.closed() && !second.closed());
 }
 
-Test(peer_bad_input, a_timeout_from_the_network_is_never_negative) {
+Test(peer_bad_input, received_timeout_is_never_negative) {
     peer_pair pair;
     raw_client caller(pair.address());
     caller.send(hello_of("caller") +
--- a/tests/unit/net/peer_fixture.h
+++ b/tests/unit/net/peer_fixture.h
@@ -1,4 +1,4 @@
-/// Helpers of the tests of peer calls.
+/// Helpers for the tests of peer calls.
 #pragma once
 
 #include <memory>
@@ -26,7 +26,7 @@
     return {.self = base::node_id(node), .cluster = "test", .listen = loopback};
 }
 
-/// One call and what came of it.
+/// One call and its result.
 struct call_result {
     explicit call_result(event_loop& owner) : loop(owner) {}
 
@@ -55,7 +55,7 @@
     std::unique_ptr<peer_call_handle> handle;
 };
 
-/// Two nodes on one loop with the methods above.
+/// Two nodes on one event loop with the methods above.
 struct peer_pair {
     explicit peer_pair(peer_rpc_options client_options = options_of("client"),
                        peer_rpc_options the_server_options = options_of("server"))
--- a/tests/unit/net/peer_rpc_test.cc
+++ b/tests/unit/net/peer_rpc_test.cc
@@ -9,7 +9,7 @@
 using namespace pearbarrow::net::testing;
 using std::chrono::milliseconds;
 
-Test(peer_rpc, calls_another_node_and_itself) {
+Test(peer_rpc, remote_and_local_calls_succeed) {
     peer_pair pair;
     for (const std::string node : {"server", "client"}) {
         call_result call(pair.loop);
@@ -21,7 +21,7 @@
     }
 }
 
-Test(peer_rpc, errors_keep_their_details) {
+Test(peer_rpc, error_details_reach_the_caller) {
     peer_pair pair;
     for (const std::string node : {"server", "client"}) {
         call_result call(pair.loop);
@@ -36,7 +36,7 @@
     }
 }
 
-Test(peer_rpc, a_method_that_is_not_there_or_drops_its_request_fails) {
+Test(peer_rpc, call_fails_without_method_or_reply) {
     peer_pair pair;
     for (const std::string node : {"server", "client"}) {
         call_result missing(pair.loop);
@@ -52,7 +52,7 @@
     }
 }
 
-Test(peer_rpc, a_deadline_ends_the_call_and_tells_the_server) {
+Test(peer_rpc, expired_deadline_ends_the_call_and_notifies_the_server) {
     peer_pair pair;
     for (const std::string node : {"server", "client"}) {
         call_result call(pair.loop);
@@ -69,7 +69,7 @@
     }
 }
 
-Test(peer_rpc, a_dropped_handle_cancels_without_callbacks) {
+Test(peer_rpc, destroyed_handle_cancels_without_callbacks) {
     peer_pair pair;
     for (const std::string node : {"server", "client"}) {
         call_result call(pair.loop);
@@ -83,7 +83,7 @@
     }
 }
 
-Test(peer_rpc, a_call_cancelled_before_the_link_is_up_is_never_sent) {
+Test(peer_rpc, call_cancelled_during_connect_is_not_sent) {
     peer_pair pair;
     call_result call(pair.loop);
     call.start(*pair.client, "server", pair.address(), hold_method, "");
@@ -95,7 +95,7 @@
     cr_assert(pair.held.empty());
 }
 
-Test(peer_rpc, a_lost_link_ends_both_sides_and_is_opened_again_at_the_next_call) {
+Test(peer_rpc, lost_link_ends_its_calls_and_is_reopened) {
     peer_pair pair;
     call_result held(pair.loop);
     held.start(*pair.client, "server", pair.address(), hold_method, "");
@@ -132,11 +132,11 @@
     cr_assert(!call.done());
 }
 
-Test(peer_rpc, requests_beyond_the_queue_fail_at_once) {
+Test(peer_rpc, requests_over_the_queue_limit_fail_immediately) {
     auto options = options_of("client");
     options.max_queued_bytes = 1024 * 1024;
     peer_pair pair(options);
-    // All in one turn of the loop, so that nothing is written in between.
+    // All calls start in one event loop iteration, so that nothing is written in between.
     std::vector<std::unique_ptr<call_result>> calls;
     for (int index = 0; index < 20; ++index) {
         calls.push_back(std::make_unique<call_result>(pair.loop));
@@ -152,14 +152,14 @@
             ++full;
         }
     }
-    cr_assert(full == 10, "%d were refused", full);
+    cr_assert(full == 10, "%d requests were rejected", full);
     call_result later(pair.loop);
     later.start(*pair.client, "server", pair.address(), echo_method, "x");
     later.wait();
     cr_assert(later.ok(), "%s", later.text().c_str());
 }
 
-Test(peer_rpc, the_number_of_open_requests_is_bounded_on_each_side) {
+Test(peer_rpc, requests_in_flight_are_bounded_on_each_side) {
     auto options = options_of("client");
     options.max_open_requests = 2;
     peer_pair pair(options);
@@ -187,7 +187,7 @@
     cr_assert(second.details().was_executed == base::executed::no);
 }
 
-Test(peer_rpc, messages_longer_than_a_frame_fail_without_harm_to_the_link) {
+Test(peer_rpc, oversized_message_fails_without_closing_the_link) {
     auto options = options_of("client");
     options.max_frame_bytes = 64 * 1024;
     auto server_options = options;
@@ -210,10 +210,10 @@
     cr_assert(largest.result->value() == payload);
 }
 
-Test(peer_rpc, a_stopping_node_takes_no_new_requests_and_ends_those_begun) {
+Test(peer_rpc, stopping_node_rejects_new_requests_and_finishes_others) {
     peer_pair pair;
-    call_result begun(pair.loop);
-    begun.start(*pair.client, "server", pair.address(), hold_method, "");
+    call_result in_flight(pair.loop);
+    in_flight.start(*pair.client, "server", pair.address(), hold_method, "");
     cr_assert(run_until(pair.loop, [&] { return !pair.held.empty(); }));
     pair.server->stop_accepting();
     call_result refused(pair.loop);
@@ -222,11 +222,11 @@
     cr_assert(refused.details().reason == "node_stopping");
     cr_assert(refused.details().was_executed == base::executed::no);
     pair.held.back()->finish("done");
-    begun.wait();
-    cr_assert(begun.ok());
+    in_flight.wait();
+    cr_assert(in_flight.ok());
 }
 
-Test(peer_rpc, parts_arrive_in_order_and_before_the_reply) {
+Test(peer_rpc, parts_arrive_in_order_before_the_final_reply) {
     peer_pair pair;
     for (const std::string node : {"server", "client"}) {
         call_result call(pair.loop);
@@ -253,7 +253,7 @@
     };
     peer_pair pair(in_zone("client", "a"), in_zone("server", "b"));
     call_result call(pair.loop);
-    // Short enough that no frame is packed.
+    // The text is too short for compression.
     const std::string text(100, 'x');
     call.start(*pair.client, "server", pair.address(), echo_method, text);
     call.wait();
@@ -266,18 +266,18 @@
         }
         return traffic_row{};
     };
-    const traffic_row asked = row_of(*pair.client);
-    const traffic_row answered = row_of(*pair.server);
-    cr_assert(!asked.is_answer && answered.is_answer);
-    cr_assert(asked.distance == peer_distance::other_region);
-    cr_assert(answered.distance == peer_distance::other_region);
-    cr_assert(asked.frames == 1);
-    cr_assert(answered.frames == 2, "a part and the answer");
-    cr_assert(asked.bytes > text.size() && asked.bytes < text.size() + 50);
-    cr_assert(answered.bytes > text.size() && answered.bytes < text.size() + 100);
+    const traffic_row request_row = row_of(*pair.client);
+    const traffic_row reply_row = row_of(*pair.server);
+    cr_assert(!request_row.is_answer && reply_row.is_answer);
+    cr_assert(request_row.distance == peer_distance::other_region);
+    cr_assert(reply_row.distance == peer_distance::other_region);
+    cr_assert(request_row.frames == 1);
+    cr_assert(reply_row.frames == 2, "a part and the final reply");
+    cr_assert(request_row.bytes > text.size() && request_row.bytes < text.size() + 50);
+    cr_assert(reply_row.bytes > text.size() && reply_row.bytes < text.size() + 100);
 }
 
-Test(peer_rpc, a_destroyed_node_runs_no_callbacks_of_calls_that_it_refused) {
+Test(peer_rpc, destroyed_node_runs_no_callbacks_of_rejected_calls) {
     peer_pair pair;
     call_result call(pair.loop);
     call.start(*pair.client, "server", pair.address(), echo_method,
@@ -287,7 +287,7 @@
     cr_assert(!call.done());
 }
 
-Test(peer_rpc, a_destroyed_node_tells_its_own_requests_before_it_is_gone) {
+Test(peer_rpc, destroyed_node_cancels_its_local_requests) {
     peer_pair pair;
     call_result call(pair.loop);
     call.start(*pair.client, "client", pair.address(), hold_method, "");
@@ -301,15 +301,16 @@
 
 namespace {
 
-/// Milliseconds until a call to a peer that takes the connection and says nothing fails.
-std::int64_t time_to_give_up(event_loop& loop, peer_rpc& client, const endpoint& silent) {
+/// Returns the milliseconds until a call fails whose peer accepts the connection and sends nothing.
+std::int64_t milliseconds_until_failure(event_loop& loop, peer_rpc& client,
+                                        const endpoint& silent) {
     const base::system_clock_source clock;
-    const base::instant began = clock.now();
+    const base::instant started_at = clock.now();
     call_result call(loop);
     call.start(client, "silent", silent, echo_method, "x");
     call.wait();
     cr_assert(call.details().reason == "hello_timeout", "%s", call.text().c_str());
-    return std::chrono::duration_cast<base::milliseconds>(clock.now() - began).count();
+    return std::chrono::duration_cast<base::milliseconds>(clock.now() - started_at).count();
 }
 
 }  // namespace
@@ -320,16 +321,20 @@
     options.first_connect_timeout = base::milliseconds{50};
     peer_pair peers(options);
     raw_server silent;
-    // A busy machine makes each attempt longer, never shorter.
-    cr_assert(time_to_give_up(peers.loop, *peers.client, silent.local_endpoint()) < 2'000);
-    cr_assert(time_to_give_up(peers.loop, *peers.client, silent.local_endpoint()) >= 100);
-    cr_assert(time_to_give_up(peers.loop, *peers.client, silent.local_endpoint()) >= 200);
+    // A busy machine can only lengthen an attempt.
+    cr_assert(milliseconds_until_failure(peers.loop, *peers.client, silent.local_endpoint()) <
+              2'000);
+    cr_assert(milliseconds_until_failure(peers.loop, *peers.client, silent.local_endpoint()) >=
+              100);
+    cr_assert(milliseconds_until_failure(peers.loop, *peers.client, silent.local_endpoint()) >=
+              200);
 }
 
-Test(peer_rpc, without_a_shorter_first_attempt_all_are_alike) {
+Test(peer_rpc, connect_timeout_is_constant_without_first_connect_timeout) {
     peer_rpc_options options = options_of("client");
     options.connect_timeout = base::milliseconds{200};
     peer_pair peers(options);
     raw_server silent;
-    cr_assert(time_to_give_up(peers.loop, *peers.client, silent.local_endpoint()) >= 200);
+    cr_assert(milliseconds_until_failure(peers.loop, *peers.client, silent.local_endpoint()) >=
+              200);
 }
--- a/tests/unit/net/small_parts_test.cc
+++ b/tests/unit/net/small_parts_test.cc
@@ -13,7 +13,7 @@
 using namespace pearbarrow::net::testing;
 using std::chrono::milliseconds;
 
-Test(endpoint, parses_what_it_formats) {
+Test(endpoint, formatted_endpoint_is_parsed) {
     for (const std::string text : {"127.0.0.1:0", "10.1.2.3:65535", "[::1]:8080"}) {
         const auto parsed = parse_endpoint(text);
         cr_assert(parsed.ok(), "%s", text.c_str());
@@ -21,7 +21,7 @@
     }
 }
 
-Test(endpoint, refuses_everything_else) {
+Test(endpoint, invalid_text_is_rejected) {
     const std::vector<std::string> inputs = {
         "",         ":",          "localhost:80", "1.2.3.4",   "1.2.3.4:",    "1.2.3.4:65536",
         "1.2.3:80", "1.2.3.4:-1", "1.2.3.4:8x",   "::1:80",    "[1.2.3.4]:1", "[::1]",
@@ -35,7 +35,7 @@
     cr_assert(!zero.ok());
 }
 
-Test(server_sent_events, parses_what_it_formats_in_any_division) {
+Test(server_sent_events, formatted_events_are_parsed_in_pieces_of_any_size) {
     const server_sent_event event{.id = "7", .event = "delta", .data = "one\n\nthree"};
     const std::string text = ": comment\r\n" + format_event(event) + "data\r\rdata:x\r\n\r\n" +
                              "retry: 5\nunknown: y\n\n" + "data: unfinished";
@@ -53,7 +53,7 @@
     }
 }
 
-Test(server_sent_events, drops_an_event_without_end) {
+Test(server_sent_events, endless_event_is_dropped) {
     int seen = 0;
     server_sent_event_parser parser([&](const server_sent_event&) { ++seen; });
     const std::string part(1024 * 1024, 'x');
@@ -64,7 +64,7 @@
     cr_assert(seen == 0);
 }
 
-Test(datagram, carries_payloads_and_drops_what_is_too_long) {
+Test(datagram, payload_arrives_and_oversized_one_is_dropped) {
     event_loop loop;
     std::vector<std::string> seen;
     endpoint sender;
@@ -89,7 +89,7 @@
     cr_assert(receiver->bytes_received() == max_datagram_bytes + 6);
 }
 
-Test(datagram, an_address_in_use_is_reported) {
+Test(datagram, address_in_use_is_reported) {
     event_loop loop;
     const auto handler = [](const endpoint&, std::string_view) {};
     const auto first = make_datagram_socket(loop, loopback, handler);
@@ -100,7 +100,7 @@
     cr_assert(base::details_of(status).peer == to_string(first->local_endpoint()));
 }
 
-Test(event_loop, a_dropped_timer_does_not_run) {
+Test(event_loop, destroyed_timer_does_not_run) {
     event_loop loop;
     bool ran = false;
     auto dropped = loop.after(milliseconds(1), [&] { ran = true; });
--- a/tests/unit/net/test_certificates.h
+++ b/tests/unit/net/test_certificates.h
@@ -1,4 +1,4 @@
-/// Certificates for the tests, made by the OpenSSL library in a folder of their own.
+/// Certificates for the tests, created with the OpenSSL library in a temporary folder.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace pearbarrow::net::testing {
 
-/// A certificate authority and what it signs. The folder is removed at the end.
+/// A certificate authority and the files that it signed. The folder is removed at the end.
 class test_authority {
   public:
     explicit test_authority(std::string name);
@@ -15,8 +15,8 @@
     test_authority(const test_authority&) = delete;
     test_authority& operator=(const test_authority&) = delete;
 
-    /// A key and a certificate for the IP number, trusting this authority. Written again under
-    /// the same names when `name` was used before.
+    /// Creates a key and a certificate for the IP address, trusting this authority. A repeated
+    /// `name` overwrites the earlier files.
     tls_files issue(const std::string& name, const std::string& ip = "127.0.0.1") const;
     std::string authority_file() const { return folder_ + "/authority.pem"; }
 
--- a/tests/unit/net/tls_test.cc
+++ b/tests/unit/net/tls_test.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-Test(tls, http_goes_both_ways_in_small_and_large_pieces) {
+Test(tls, http_bodies_of_any_size_are_transferred) {
     const test_authority authority("ours");
     event_loop loop;
     const auto server = serve_tls(loop, without_authorities(authority.issue("server")));
@@ -53,7 +53,7 @@
     }
 }
 
-Test(tls, a_server_not_signed_by_the_authority_or_for_another_address_is_refused) {
+Test(tls, server_with_untrusted_or_mismatched_certificate_is_rejected) {
     const test_authority ours("ours");
     const test_authority others("others");
     for (const auto& files : {others.issue("server"), ours.issue("server", "10.9.9.9")}) {
@@ -68,7 +68,7 @@
     }
 }
 
-Test(tls, a_server_with_authorities_refuses_clients_without_their_signature) {
+Test(tls, client_without_trusted_certificate_is_rejected) {
     const test_authority ours("ours");
     const test_authority others("others");
     event_loop loop;
@@ -85,7 +85,7 @@
     cr_assert(server->open_exchanges() == 0);
 }
 
-Test(tls, plain_bytes_and_silence_on_a_tls_port_are_cut_off) {
+Test(tls, plain_or_idle_connection_on_tls_port_is_closed) {
     const test_authority authority("ours");
     event_loop loop;
     http_server_options options;
@@ -99,7 +99,7 @@
     cr_assert(!plain.has("200 OK"));
 }
 
-Test(tls, http_keys_are_read_again_without_a_restart) {
+Test(tls, http_keys_are_reloaded_without_restart) {
     const test_authority before("before");
     const test_authority after("after");
     event_loop loop;
@@ -114,19 +114,19 @@
     const auto next = after.issue("server");
     const auto overwrite = std::filesystem::copy_options::overwrite_existing;
     std::filesystem::copy_file(next.certificate_chain, files.certificate_chain, overwrite);
-    // With the certificate of one key and another key the reload fails and changes nothing.
+    // A certificate that does not match the key makes the reload fail without any change.
     cr_assert(base::details_of(server->reload_tls()).reason == "tls_files_unusable");
     cr_assert(!fetch(loop, *new_client, call).ok());
     std::filesystem::copy_file(next.private_key, files.private_key, overwrite);
     cr_assert(server->reload_tls().ok());
     cr_assert(fetch(loop, *new_client, call).ok());
-    // The old client's open connection goes on with the old keys; a new one does not.
+    // The open connection of the old client keeps the old keys; a new connection does not.
     cr_assert(fetch(loop, *old_client, call).ok());
     cr_assert(old_client->reload_tls().ok());
     cr_assert(!fetch(loop, *old_client, call).ok());
 }
 
-Test(tls, unusable_files_are_named) {
+Test(tls, unusable_file_is_reported_by_name) {
     const test_authority authority("ours");
     event_loop loop;
     auto files = authority.issue("server");
@@ -143,7 +143,7 @@
     cr_assert(base::details_of(response.status()).reason == "tls_files_unusable");
 }
 
-Test(tls, peers_take_only_links_signed_by_their_authority) {
+Test(tls, peer_accepts_only_trusted_certificates) {
     const test_authority ours("ours");
     const test_authority others("others");
     auto client_options = options_of("client");
@@ -175,7 +175,7 @@
     cr_assert(pair.held.empty());
 }
 
-Test(tls, peer_keys_are_read_again_without_a_restart) {
+Test(tls, peer_keys_are_reloaded_without_restart) {
     const test_authority before("before");
     const test_authority after("after");
     const auto overwrite = std::filesystem::copy_options::overwrite_existing;
@@ -203,7 +203,7 @@
     cr_assert(call.ok(), "%s", call.text().c_str());
 }
 
-Test(tls, peers_refuse_to_start_without_authorities) {
+Test(tls, peer_without_authorities_does_not_start) {
     const test_authority authority("ours");
     event_loop loop;
     auto options = options_of("node");
