--- a/src/pearbarrow/base/clock.h
+++ b/src/pearbarrow/base/clock.h
@@ -1,4 +1,4 @@
-/// Time, from one interface: no other code reads a clock.
+/// Interface to time. No other code reads a clock.
 #pragma once
 
 #include <chrono>
@@ -10,16 +10,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A point on a process's monotonic clock, in microseconds. Meaningless in another process.
+/// A point on the monotonic clock of a process, in microseconds. Meaningless in another process.
 using instant = std::chrono::time_point<std::chrono::steady_clock, microseconds>;
 
-/// Source of time. Nodes use `system_clock_source`, simulations and tests `manual_clock`.
+/// Source of time. Nodes use `system_clock_source`; simulations and tests use `manual_clock`.
 class clock {
   public:
     virtual ~clock() = default;
-    /// Monotonic time, for every wait and bound.
+    /// Monotonic time, for all timeouts and deadlines.
     virtual instant now() const = 0;
-    /// Microseconds since the Unix epoch, only for logs and for showing to people.
+    /// Microseconds since the Unix epoch, only for logs and display.
     virtual std::int64_t unix_microseconds() const = 0;
 };
 
@@ -29,7 +29,7 @@
     std::int64_t unix_microseconds() const override;
 };
 
-/// A clock that a test or a simulation moves by hand.
+/// A clock that a test or a simulation advances.
 class manual_clock final : public clock {
   public:
     instant now() const override { return now_; }
--- a/src/pearbarrow/base/hash.h
+++ b/src/pearbarrow/base/hash.h
@@ -1,4 +1,4 @@
-/// Stable hashing: the same input gives the same number in every process and release.
+/// Stable hashing: the hash of an input is the same in every process and release.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace pearbarrow::base {
 
-/// 64-bit xxHash (XXH3) of `bytes`.
+/// Returns the 64-bit xxHash (XXH3) of `bytes`.
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed = 0);
 
 }  // namespace pearbarrow::base
--- a/src/pearbarrow/base/ids.h
+++ b/src/pearbarrow/base/ids.h
@@ -1,8 +1,8 @@
-/// Strong identifier types shared by every subsystem.
+/// Strong identifier types shared by all subsystems.
 ///
-/// Each identifier is its own type, so that a program id can never be passed where a tenant id is
-/// meant. Identifiers order, compare, hash and format like the value they hold, and travel over
-/// msgpack as that value.
+/// Each identifier has its own type, so that a program id cannot be passed as a tenant id.
+/// Identifiers are ordered, compared, hashed, formatted and serialized with msgpack like the value
+/// that they contain.
 #pragma once
 
 #include <compare>
@@ -15,7 +15,7 @@
 
 namespace pearbarrow::base {
 
-/// A value of type `Value` that belongs to the identifier family `Tag`.
+/// A value of type `Value` in the identifier family `Tag`.
 template <typename Tag, typename Value>
 class strong_id {
   public:
@@ -47,33 +47,33 @@
     Value value_{};
 };
 
-/// A node's name; unique among living nodes, set in the node's settings.
+/// Name of a node, set in its settings. It is unique among live nodes.
 using node_id = strong_id<struct node_tag, std::string>;
 using zone_name = strong_id<struct zone_tag, std::string>;
 using region_name = strong_id<struct region_tag, std::string>;
 using tenant_id = strong_id<struct tenant_tag, std::string>;
-/// 32 lower-case hexadecimal digits, drawn at random by the node that opens the program.
+/// 32 lower-case hexadecimal digits, generated at random by the node that opens the program.
 using program_id = strong_id<struct program_tag, std::string>;
-/// One HTTP exchange at a gateway; only for logs.
+/// Identifies one HTTP exchange at a gateway; only for logs.
 using request_id = strong_id<struct request_tag, std::string>;
 using pool_id = strong_id<struct pool_tag, std::string>;
-/// A model engine or a tool service, named in the configuration.
+/// A model engine or a tool service, as named in the configuration.
 using backend_id = strong_id<struct backend_tag, std::string>;
 using model_name = strong_id<struct model_tag, std::string>;
 using tool_name = strong_id<struct tool_tag, std::string>;
-/// Names one attempt at one call; the engine's stream id and the tool's request id.
+/// Identifies one attempt at a call: the stream id of the engine and the request id of the tool.
 using attempt_id = strong_id<struct attempt_tag, std::string>;
 using grant_id = strong_id<struct grant_tag, std::uint64_t>;
 using shard_id = strong_id<struct shard_tag, std::uint32_t>;
-/// Position of a call in its program; the first call is 1.
+/// Position of a call in its program, starting at 1.
 using call_number = strong_id<struct call_tag, std::uint64_t>;
-/// Position of a record in a shard's journal; the first record is 1.
+/// Position of a record in the journal of a shard, starting at 1.
 using log_index = strong_id<struct log_index_tag, std::uint64_t>;
 /// Number of the newest applied change of the configuration log; 0 is the empty configuration.
 using config_version = strong_id<struct config_version_tag, std::uint64_t>;
 
-/// Right to write a shard's journal. A higher ballot fences every lower one. Ordered by round,
-/// ties by node name, so no two nodes ever hold the same ballot.
+/// The right to write the journal of a shard. A higher ballot fences every lower one. Ballots are
+/// ordered by round and then by node name, so that no two nodes hold the same ballot.
 struct ballot {
     std::uint64_t round = 0;
     node_id node;
--- a/src/pearbarrow/base/log.cc
+++ b/src/pearbarrow/base/log.cc
@@ -20,28 +20,29 @@
 namespace pearbarrow::base {
 namespace {
 
-/// Longest line that a pipe takes whole or not at all.
+/// Longest line that a pipe accepts atomically.
 constexpr std::size_t max_line_bytes = 4'096;
 
-/// Whether standard output takes a line now. What can't be asked (a file, say) never makes wait.
-bool takes_a_line() {
+/// Whether standard output accepts a line without blocking. Outputs that cannot be polled, such as
+/// files, never block.
+bool can_write_line() {
     pollfd output{.fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0};
     const int ready = ::poll(&output, 1, 0);
     return ready != 0;
 }
 
-/// Writes lines to standard output as long as it takes them.
+/// Writes lines to standard output and drops them while it would block.
 class output_sink final : public spdlog::sinks::base_sink<std::mutex> {
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override {
-        if (!takes_a_line()) {
+        if (!can_write_line()) {
             ++dropped_;
             return;
         }
         spdlog::memory_buf_t line;
         formatter_->format(message, line);
         if (line.size() > max_line_bytes) {
-            // A cut line is no JSON: only what happened is told.
+            // A truncated line is not valid JSON, so a line that reports its size replaces it.
             line.clear();
             fmt::format_to(
                 std::back_inserter(line),
@@ -68,13 +69,13 @@
 
 logging_state& state() {
     static logging_state instance = [] {
-        logging_state made;
+        logging_state created;
         auto sink = std::make_shared<output_sink>();
-        made.logger = std::make_shared<spdlog::logger>("pearbarrow", std::move(sink));
-        made.logger->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l",%v})",
-                                 spdlog::pattern_time_type::utc);
-        made.logger->flush_on(spdlog::level::debug);
-        return made;
+        created.logger = std::make_shared<spdlog::logger>("pearbarrow", std::move(sink));
+        created.logger->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l",%v})",
+                                    spdlog::pattern_time_type::utc);
+        created.logger->flush_on(spdlog::level::debug);
+        return created;
     }();
     return instance;
 }
@@ -95,8 +96,8 @@
 
 }  // namespace
 
-void configure_logging(std::string_view lowest_level, nlohmann::json common_fields) {
-    state().logger->set_level(spdlog::level::from_str(std::string(lowest_level)));
+void configure_logging(std::string_view min_level, nlohmann::json common_fields) {
+    state().logger->set_level(spdlog::level::from_str(std::string(min_level)));
     state().common_fields = std::move(common_fields);
 }
 
--- a/src/pearbarrow/base/log.h
+++ b/src/pearbarrow/base/log.h
@@ -1,8 +1,8 @@
-/// Structured logs: one JSON object a line on standard output.
+/// Structured logs: one JSON object per line on standard output.
 ///
-/// Writing never waits: a line that nobody takes is dropped, and the next one that is written says
-/// how many were. Each line has `time`, `level`, `event` (one stable name an event) and the given
-/// fields.
+/// Logging never blocks: a line is dropped if standard output does not accept it, and the next line
+/// that is written is preceded by the number of dropped lines. Each line has the fields `time`,
+/// `level` and `event` (a stable name) and the given fields.
 #pragma once
 
 #include <string_view>
@@ -14,14 +14,14 @@
 
 enum class log_level { debug, info, warning, error };
 
-/// Sets the lowest level written ("debug", "info", "warning", "error") and the fields that every
-/// line carries, such as the node's name.
-void configure_logging(std::string_view lowest_level, nlohmann::json common_fields);
+/// Sets the lowest level that is written ("debug", "info", "warning", "error") and the fields that
+/// are added to every line, such as the name of the node.
+void configure_logging(std::string_view min_level, nlohmann::json common_fields);
 
-/// Writes one line. `fields` is a JSON object.
+/// Writes one line. `fields` must be a JSON object.
 void log(log_level level, std::string_view event, nlohmann::json fields = nlohmann::json::object());
 
-/// The fields of a failed status: code, message, step, peer, reason.
+/// Returns the log fields of an error status: code, message, step, peer and reason.
 nlohmann::json log_fields(const absl::Status& status);
 
 }  // namespace pearbarrow::base
--- a/src/pearbarrow/base/metrics.h
+++ b/src/pearbarrow/base/metrics.h
@@ -1,7 +1,7 @@
 /// Metrics of a process in the Prometheus text format.
 ///
-/// A wrapper of prometheus-cpp's registry and serializer, so that no other folder includes them.
-/// Names carry their unit ("_seconds", "_bytes", "_total"); labels have few values.
+/// Wraps the registry and the serializer of prometheus-cpp, so that no other folder includes them.
+/// Names contain their unit ("_seconds", "_bytes", "_total"); labels have few values.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 using metric_labels = std::map<std::string, std::string>;
 
-/// A number that only grows. Cheap to copy; lives as long as its registry.
+/// A monotonically increasing number. It is cheap to copy and valid as long as its registry.
 class counter {
   public:
     void increment(double by = 1.0) const;
@@ -24,7 +24,7 @@
     void* implementation_ = nullptr;
 };
 
-/// A number that goes up and down.
+/// A number that can increase and decrease.
 class gauge {
   public:
     void set(double value) const;
@@ -34,7 +34,7 @@
     void* implementation_ = nullptr;
 };
 
-/// A distribution, counted in buckets.
+/// A distribution of values counted in buckets.
 class histogram {
   public:
     void observe(double value) const;
@@ -44,7 +44,7 @@
     void* implementation_ = nullptr;
 };
 
-/// Buckets in seconds for latencies from 0.25 ms to 60 s.
+/// Bucket boundaries in seconds for latencies from 0.25 ms to 60 s.
 std::vector<double> latency_buckets();
 
 class metrics_registry {
@@ -54,7 +54,8 @@
     metrics_registry(const metrics_registry&) = delete;
     metrics_registry& operator=(const metrics_registry&) = delete;
 
-    /// The counter of this name and labels; the same one each time. A name keeps its kind and help.
+    /// Returns the counter with this name and these labels; repeated calls return the same counter.
+    /// All metrics of one name have the same type and help text.
     counter add_counter(const std::string& name, const std::string& help,
                         const metric_labels& labels = {});
     gauge add_gauge(const std::string& name, const std::string& help,
@@ -63,9 +64,9 @@
                             const metric_labels& labels = {},
                             std::vector<double> buckets = latency_buckets());
 
-    /// What each counter stands at, by name and labels: `name{label=value,...}`.
+    /// Returns the values of all counters by name and labels: `name{label=value,...}`.
     std::map<std::string, double> counters() const;
-    /// All metrics in the Prometheus text exposition format.
+    /// Returns all metrics in the Prometheus text exposition format.
     std::string text() const;
 
   private:
--- a/src/pearbarrow/base/sha256.h
+++ b/src/pearbarrow/base/sha256.h
@@ -1,4 +1,4 @@
-/// SHA-256, for values that are compared but must not be kept.
+/// SHA-256, for values that are compared but must not be stored.
 #pragma once
 
 #include <string>
@@ -6,10 +6,11 @@
 
 namespace pearbarrow::base {
 
-/// The 32 bytes of the digest.
+/// Returns the 32 bytes of the digest.
 std::string sha256(std::string_view bytes);
 
-/// Compares without leaking by its time how much of the two agrees. Different sizes are unequal.
+/// Compares two strings in a time that does not depend on the position of the first difference.
+/// Strings of different sizes are unequal.
 bool equal_in_constant_time(std::string_view left, std::string_view right);
 
 }  // namespace pearbarrow::base
--- a/src/pearbarrow/base/status.cc
+++ b/src/pearbarrow/base/status.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view executed_key = "pearbarrow/executed";
 constexpr std::string_view retry_after_key = "pearbarrow/retry-after-ms";
 
-// Debian builds Abseil with its own string_view, which std::string_view does not convert to.
+// Debian builds Abseil with its own string_view, to which std::string_view does not convert.
 absl::string_view to_absl(std::string_view text) {
     return {text.data(), text.size()};
 }
--- a/src/pearbarrow/base/tokens.h
+++ b/src/pearbarrow/base/tokens.h
@@ -1,4 +1,4 @@
-/// The rule by which text counts as tokens, shared by gateways, owners, engines and workloads.
+/// The token estimate for text, shared by gateways, owners, engines and workloads.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,16 @@
 
 namespace pearbarrow::base {
 
-/// Bytes of text that count as one token.
+/// Bytes of text per token.
 inline constexpr std::size_t bytes_per_token = 4;
-/// Tokens that each message of a prompt costs beside its content: role and separators.
+/// Tokens for the role and the separators of each message in a prompt, in addition to its content.
 inline constexpr std::uint64_t message_overhead_tokens = 4;
-/// Tokens at the end of every prompt that open the engine's answer.
+/// Tokens at the end of every prompt that start the response of the engine.
 inline constexpr std::uint64_t answer_header_tokens = 4;
 
-/// Tokens in `text`: its bytes divided by four, rounded up.
-/// A whole prompt costs, for each message, `message_overhead_tokens + estimate_tokens(content)`,
-/// and `answer_header_tokens` once.
+/// Returns the number of tokens in `text`: its size in bytes divided by four, rounded up. A prompt
+/// costs `message_overhead_tokens + estimate_tokens(content)` for each message, plus
+/// `answer_header_tokens`.
 constexpr std::uint64_t estimate_tokens(std::string_view text) {
     return (text.size() + bytes_per_token - 1) / bytes_per_token;
 }
--- a/tests/unit/base/ids_test.cc
+++ b/tests/unit/base/ids_test.cc
@@ -7,12 +7,12 @@
 
 using namespace pearbarrow::base;
 
-Test(ids, families_do_not_mix) {
+Test(ids, families_are_not_convertible) {
     cr_assert(!(std::is_convertible_v<program_id, tenant_id>));
     cr_assert(!(std::is_convertible_v<std::string, program_id>));
 }
 
-Test(ids, travel_over_msgpack_as_their_value) {
+Test(ids, are_serialized_as_their_value) {
     std::stringstream buffer;
     msgpack::pack(buffer, program_id("abc"));
     const std::string bytes = buffer.str();
--- a/tests/unit/base/status_test.cc
+++ b/tests/unit/base/status_test.cc
@@ -4,7 +4,7 @@
 
 using namespace pearbarrow::base;
 
-Test(status, carries_its_details) {
+Test(status, details_are_preserved) {
     const auto status = make_error(absl::StatusCode::kUnavailable, "no majority",
                                    {.step = "append",
                                     .peer = "node-2",
@@ -19,7 +19,7 @@
     cr_assert(details.retry_after == milliseconds(1500));
 }
 
-Test(status, the_first_step_named_is_kept) {
+Test(status, first_step_is_kept) {
     const auto inner =
         make_error(absl::StatusCode::kInternal, "x", {.step = "read", .peer = "disk"});
     cr_assert(details_of(at_step(inner, "outer", "node")).step == "read");
