--- a/src/pearbarrow/membership/member.h
+++ b/src/pearbarrow/membership/member.h
@@ -1,4 +1,4 @@
-/// A node of the fleet as the others know it.
+/// A node of the fleet as known to other nodes.
 #pragma once
 
 #include <compare>
@@ -13,13 +13,13 @@
 
 namespace pearbarrow::membership {
 
-/// In rising order of strength: of two statements with the same generation and incarnation, the
-/// stronger one holds.
+/// Ordered by precedence: of two states with the same generation and incarnation, the greater one
+/// wins.
 enum class member_state : std::uint8_t { alive = 0, suspect = 1, dead = 2, left = 3 };
 
 std::string_view to_string(member_state state);
 
-/// What a node says of itself. Changes reach all nodes by gossip.
+/// Properties that a node announces. Changes are propagated to all nodes by gossip.
 struct member_metadata {
     base::zone_name zone;
     base::region_name region;
@@ -28,11 +28,11 @@
     net::endpoint peer;
     net::endpoint caller;
     net::endpoint operators;
-    /// It has a data folder and may hold journal replicas.
+    /// Whether the node has a data folder and may store journal replicas.
     bool has_disk = false;
-    /// It hands its work over and takes no new work.
+    /// Whether the node hands its work over and accepts no new work.
     bool draining = false;
-    /// Share of shards and cells relative to other nodes, in percent.
+    /// Weight of the node for the assignment of shards and cells, in percent.
     std::uint32_t weight = 100;
 
     auto operator<=>(const member_metadata&) const = default;
@@ -41,18 +41,18 @@
 
 struct member {
     base::node_id id;
-    /// Start of the process, as microseconds since the Unix epoch: a restart makes a new one.
+    /// Start time of the process in microseconds since the Unix epoch. A restart changes it.
     std::uint64_t generation = 0;
-    /// Raised by the node itself, to refute a suspicion or to change its metadata.
+    /// Incremented by the node itself to refute a suspicion or to change its metadata.
     std::uint64_t incarnation = 0;
     member_state state = member_state::alive;
     member_metadata metadata;
-    /// Newest configuration version that the node has reported.
+    /// Newest configuration version reported by the node.
     base::config_version config_version;
 
-    /// Alive or only suspected: still to be counted on.
+    /// Whether the node is alive or only suspected.
     bool is_live() const { return state <= member_state::suspect; }
-    /// Live and taking new work.
+    /// Whether the node is live and accepts new work.
     bool takes_work() const { return is_live() && !metadata.draining; }
     auto operator<=>(const member&) const = default;
 };
--- a/src/pearbarrow/membership/member_wire.h
+++ b/src/pearbarrow/membership/member_wire.h
@@ -1,4 +1,4 @@
-/// Conversion between members and their form on the wire. Internal to `membership`.
+/// Conversion between members and their wire format. Internal to `membership`.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,17 @@
 
 wire::member_record to_record(const member& value);
 
-/// The member that a record describes; a state outside the known ones reads as `left`.
+/// Converts a record to a member. An unknown state is converted to `left`.
 member from_record(const wire::member_record& record);
 
-/// Reads a state from the wire; unknown numbers read as the strongest.
+/// Converts a state from its wire format. Unknown values are converted to the state with the
+/// highest precedence.
 member_state state_from_wire(std::uint8_t state);
 
-/// Names a process of a node in configuration reports.
+/// Identifies a process of a node in configuration reports.
 std::uint64_t report_hash(const base::node_id& id, std::uint64_t generation);
 
-/// Hash of what two nodes must agree on about a live member.
+/// Hashes the properties of a live member on which two nodes must agree.
 std::uint64_t content_hash(const member& value);
 
 }  // namespace pearbarrow::membership
--- a/src/pearbarrow/membership/rendezvous.cc
+++ b/src/pearbarrow/membership/rendezvous.cc
@@ -13,7 +13,7 @@
 namespace pearbarrow::membership {
 namespace {
 
-/// A number in (0, 1) from a hash: 53 bits, never 0 and never 1.
+/// Converts a hash to a number in (0, 1) with 53 bits. The result is never 0 and never 1.
 double unit_interval(std::uint64_t hash) {
     return (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53;
 }
@@ -21,10 +21,10 @@
 using member_pointers = std::vector<const member*>;
 
 template <typename Predicate>
-member_pointers filter(const std::vector<member>& members, Predicate wanted) {
+member_pointers select_members(const std::vector<member>& members, Predicate predicate) {
     member_pointers result;
     for (const member& each : members) {
-        if (wanted(each)) {
+        if (predicate(each)) {
             result.push_back(&each);
         }
     }
@@ -36,7 +36,7 @@
     const member* value;
 };
 
-bool better(const scored_member& left, const scored_member& right) {
+bool ranks_before(const scored_member& left, const scored_member& right) {
     return left.score != right.score ? left.score > right.score : left.value->id < right.value->id;
 }
 
@@ -48,10 +48,11 @@
             all.push_back({rendezvous_score(key, each->id, each->metadata.weight), each});
         }
     }
-    const std::size_t wanted = std::min(count, all.size());
-    std::partial_sort(all.begin(), all.begin() + static_cast<long>(wanted), all.end(), better);
+    const std::size_t selected_count = std::min(count, all.size());
+    std::partial_sort(all.begin(), all.begin() + static_cast<long>(selected_count), all.end(),
+                      ranks_before);
     std::vector<base::node_id> result;
-    for (std::size_t index = 0; index < wanted; ++index) {
+    for (std::size_t index = 0; index < selected_count; ++index) {
         result.push_back(all[index].value->id);
     }
     return result;
@@ -75,12 +76,13 @@
 
 std::vector<base::node_id> rank(std::string_view key, const std::vector<member>& candidates,
                                 std::size_t count) {
-    return rank_pointers(key, filter(candidates, [](const member&) { return true; }), count);
+    return rank_pointers(key, select_members(candidates, [](const member&) { return true; }),
+                         count);
 }
 
 std::optional<base::node_id> preferred_owner(base::shard_id shard, const base::region_name& region,
                                              const std::vector<member>& members) {
-    return best(shard_key(shard), filter(members, [&](const member& each) {
+    return best(shard_key(shard), select_members(members, [&](const member& each) {
                     return each.takes_work() && each.metadata.region == region;
                 }));
 }
@@ -89,13 +91,13 @@
                                                   const base::region_name& region,
                                                   const std::vector<member>& members) {
     const std::string key = fmt::format("cell/{}/{}", pool.value(), cell);
-    const member_pointers near = filter(members, [&](const member& each) {
+    const member_pointers regional = select_members(members, [&](const member& each) {
         return each.takes_work() && each.metadata.region == region;
     });
-    if (!near.empty()) {
-        return best(key, near);
+    if (!regional.empty()) {
+        return best(key, regional);
     }
-    return best(key, filter(members, [](const member& each) { return each.takes_work(); }));
+    return best(key, select_members(members, [](const member& each) { return each.takes_work(); }));
 }
 
 std::vector<base::node_id> platform_followers(const std::vector<member>& members,
@@ -118,7 +120,7 @@
 
 std::vector<base::node_id> choose_replicas(base::shard_id shard, const base::region_name& region,
                                            const std::vector<member>& members, std::size_t count) {
-    const member_pointers candidates = filter(members, [&](const member& each) {
+    const member_pointers candidates = select_members(members, [&](const member& each) {
         return each.takes_work() && each.metadata.has_disk && each.metadata.region == region;
     });
     std::map<base::node_id, base::zone_name> zone_of;
--- a/src/pearbarrow/membership/swim.cc
+++ b/src/pearbarrow/membership/swim.cc
@@ -1,4 +1,4 @@
-/// Probing, timers and the life of this node; see swim.h.
+/// Probing, timers and the lifecycle of this node; see swim.h.
 #include "pearbarrow/membership/swim.h"
 
 #include <algorithm>
@@ -10,10 +10,11 @@
 namespace pearbarrow::membership {
 namespace {
 
-/// Rounds of news that a leaving node sends at once, beside its ordinary gossip.
-constexpr std::size_t farewell_fanout = 8;
-/// A relayed probe is kept this many times the indirect timeout.
-constexpr int relay_memory_factor = 4;
+/// Number of gossip datagrams that a leaving node sends immediately, in addition to its regular
+/// gossip.
+constexpr std::size_t leave_fanout = 8;
+/// Lifetime of a relayed probe as a multiple of the indirect timeout.
+constexpr int relay_lifetime_factor = 4;
 
 }  // namespace
 
@@ -38,24 +39,24 @@
     next_cleanup_ = now + options_.sync_period;
     last_sequence_ = random_.below(1 << 16);
     gossip_allowance_ = options_.gossip_burst_bytes;
-    spread(self_.id);
+    enqueue_update(self_.id);
 }
 
 std::vector<swim_action> swim_core::apply(const swim_event& event, base::instant now) {
     actions out;
-    if (notice_pause(now)) {
+    if (detect_pause(now)) {
         ++statistics_.pauses;
     }
     std::visit([&](const auto& each) { on(each, now, out); }, event);
     return out;
 }
 
-bool swim_core::notice_pause(base::instant now) {
+bool swim_core::detect_pause(base::instant now) {
     const base::microseconds gap = now - last_tick_;
     if (gap <= options_.pause_threshold || options_.faults.no_self_awareness) {
         return false;
     }
-    // What is overdue may have been answered while this process stood still.
+    // Overdue probes may have been acknowledged while this process was paused.
     probes_.clear();
     relayed_.clear();
     no_accusation_before_ = now + options_.pause_grace;
@@ -78,7 +79,7 @@
     if (leaving_) {
         continue_leaving(now, out);
     } else if (now >= next_probe_) {
-        next_probe_ = now + scaled(options_.probe_period);
+        next_probe_ = now + scaled_timeout(options_.probe_period);
         start_probe_round(now, out);
     }
     if (now >= next_gossip_) {
@@ -99,7 +100,7 @@
     }
     if (now >= next_cleanup_) {
         next_cleanup_ = now + options_.sync_period;
-        forget_old(now, out);
+        remove_expired(now, out);
     }
 }
 
@@ -116,7 +117,7 @@
     }
     self_.metadata = event.metadata;
     ++self_.incarnation;
-    spread(self_.id);
+    enqueue_update(self_.id);
 }
 
 void swim_core::on(const config_version_changed& event, base::instant now, actions& out) {
@@ -124,7 +125,7 @@
         return;
     }
     self_.config_version = event.version;
-    spread_report(self_report_hash_);
+    enqueue_report(self_report_hash_);
 }
 
 void swim_core::on(const leave& event, base::instant now, actions& out) {
@@ -135,8 +136,8 @@
     self_.state = member_state::left;
     leave_ends_ = now + options_.leave_period;
     probes_.clear();
-    spread(self_.id);
-    for (const member_entry* each : random_live(farewell_fanout)) {
+    enqueue_update(self_.id);
+    for (const member_entry* each : random_live(leave_fanout)) {
         send(each->value.metadata.datagram, make_message(wire::swim_message_kind::gossip, 0), true,
              out);
     }
@@ -168,7 +169,7 @@
 }
 
 const member_entry* swim_core::ring_successor() {
-    regroup();
+    rebuild_groups();
     return successor_;
 }
 
@@ -177,17 +178,17 @@
         return nullptr;
     }
     while (true) {
-        if (round_.empty()) {
-            regroup();
+        if (probe_order_.empty()) {
+            rebuild_groups();
             for (const member_entry* each : live_) {
-                round_.push_back(each->value.id);
+                probe_order_.push_back(each->value.id);
             }
-            for (std::size_t index = round_.size(); index > 1; --index) {
-                std::swap(round_[index - 1], round_[random_.below(index)]);
+            for (std::size_t index = probe_order_.size(); index > 1; --index) {
+                std::swap(probe_order_[index - 1], probe_order_[random_.below(index)]);
             }
         }
-        const auto found = entries_.find(round_.back());
-        round_.pop_back();
+        const auto found = entries_.find(probe_order_.back());
+        probe_order_.pop_back();
         if (found != entries_.end() && found->second.value.is_live()) {
             return &found->second;
         }
@@ -195,21 +196,21 @@
 }
 
 void swim_core::start_probe(const member_entry& target, base::instant now, actions& out,
-                            const wire::member_accusation* told) {
+                            const wire::member_accusation* extra_accusation) {
     probe started;
     started.target = target.value.id;
     started.generation = target.value.generation;
     started.sequence = ++last_sequence_;
     started.sent = now;
-    started.indirect_at = now + scaled(options_.direct_timeout);
-    started.fails_at = now + scaled(options_.indirect_timeout);
+    started.indirect_at = now + scaled_timeout(options_.direct_timeout);
+    started.fails_at = now + scaled_timeout(options_.indirect_timeout);
     ++statistics_.probes;
     wire::swim_datagram message = make_message(wire::swim_message_kind::ping, started.sequence);
     message.target = target.value.id;
-    // The accused hears of it at once, and can refute.
+    // The ping carries the accusations, so that the accused node can refute them immediately.
     message.accusations = accusations_of(target);
-    if (told != nullptr) {
-        message.accusations.push_back(*told);
+    if (extra_accusation != nullptr) {
+        message.accusations.push_back(*extra_accusation);
     }
     probes_.push_back(std::move(started));
     send(target.value.metadata.datagram, std::move(message), true, out);
@@ -229,28 +230,28 @@
         return false;
     });
     for (const probe& each : failed) {
-        fail_probe(each, now, out);
+        on_probe_failed(each, now, out);
     }
     std::erase_if(relayed_, [&](const relayed_probe& each) { return now >= each.expires; });
 }
 
-void swim_core::send_indirect(probe& waiting, actions& out) {
+void swim_core::send_indirect(probe& pending, actions& out) {
     if (options_.faults.no_indirect_probes) {
         return;
     }
-    for (const member_entry* helper : random_alive(options_.indirect_probes, waiting.target)) {
+    for (const member_entry* helper : random_alive(options_.indirect_probes, pending.target)) {
         wire::swim_datagram message =
-            make_message(wire::swim_message_kind::ping_request, waiting.sequence);
-        message.target = waiting.target;
+            make_message(wire::swim_message_kind::ping_request, pending.sequence);
+        message.target = pending.target;
         send(helper->value.metadata.datagram, std::move(message), true, out);
     }
 }
 
-void swim_core::fail_probe(const probe& failed, base::instant now, actions& out) {
+void swim_core::on_probe_failed(const probe& failed, base::instant now, actions& out) {
     ++statistics_.probes_failed;
     if (last_datagram_ < failed.sent) {
-        // Nobody at all was heard: the fault may be this node's own.
-        doubt_self_more();
+        // No datagram from any node arrived, so the fault may be local.
+        increase_health_penalty();
     }
     const auto found = entries_.find(failed.target);
     if (found == entries_.end() || now < no_accusation_before_) {
@@ -260,10 +261,10 @@
     if (entry.value.generation != failed.generation || !entry.value.is_live()) {
         return;
     }
-    accuse(entry,
-           {entry.value.id, entry.value.generation, entry.value.incarnation,
-            static_cast<std::uint8_t>(member_state::suspect), self_.id},
-           now, out);
+    apply_accusation(entry,
+                     {entry.value.id, entry.value.generation, entry.value.incarnation,
+                      static_cast<std::uint8_t>(member_state::suspect), self_.id},
+                     now, out);
 }
 
 void swim_core::handle_ping_request(const net::endpoint& from, const wire::swim_datagram& message,
@@ -274,9 +275,9 @@
     }
     relayed_probe relayed;
     relayed.own_sequence = ++last_sequence_;
-    relayed.asker_sequence = message.sequence;
-    relayed.asker = from;
-    relayed.expires = now + options_.indirect_timeout * relay_memory_factor;
+    relayed.requester_sequence = message.sequence;
+    relayed.requester = from;
+    relayed.expires = now + options_.indirect_timeout * relay_lifetime_factor;
     wire::swim_datagram ping = make_message(wire::swim_message_kind::ping, relayed.own_sequence);
     ping.target = message.target;
     ping.accusations = accusations_of(found->second);
@@ -289,48 +290,48 @@
         relayed_.begin(), relayed_.end(),
         [&](const relayed_probe& each) { return each.own_sequence == message.sequence; });
     if (relayed != relayed_.end()) {
-        send(relayed->asker, make_message(wire::swim_message_kind::ack, relayed->asker_sequence),
-             true, out);
+        send(relayed->requester,
+             make_message(wire::swim_message_kind::ack, relayed->requester_sequence), true, out);
         relayed_.erase(relayed);
         return;
     }
-    const auto answered = std::find_if(probes_.begin(), probes_.end(), [&](const probe& each) {
+    const auto acknowledged = std::find_if(probes_.begin(), probes_.end(), [&](const probe& each) {
         return each.sequence == message.sequence;
     });
-    if (answered != probes_.end()) {
-        note_answer_of(*answered, now);
-        probes_.erase(answered);
-        doubt_self_less();
+    if (acknowledged != probes_.end()) {
+        on_probe_acknowledged(*acknowledged, now);
+        probes_.erase(acknowledged);
+        decrease_health_penalty();
     }
 }
 
-// ---- Bounds ----
+// ---- Limits and timeouts ----
 
 std::size_t swim_core::retransmit_limit() const {
     const double fleet = static_cast<double>(live_others_ + 2);
     return static_cast<std::size_t>(std::ceil(options_.retransmit_factor * std::log2(fleet)));
 }
 
-base::microseconds swim_core::shortest_suspicion() const {
+base::microseconds swim_core::min_suspicion() const {
     const double fleet = static_cast<double>(live_others_ + 1);
     const double factor = std::max(1.0, std::log10(fleet));
     const double length = factor * static_cast<double>(options_.suspicion_base.count()) * 1000.0;
     return base::microseconds(static_cast<std::int64_t>(length));
 }
 
-base::microseconds swim_core::scaled(base::milliseconds timeout) const {
-    return base::microseconds(timeout) * (1 + doubt_);
+base::microseconds swim_core::scaled_timeout(base::milliseconds timeout) const {
+    return base::microseconds(timeout) * (1 + health_penalty_);
 }
 
-void swim_core::doubt_self_more() {
+void swim_core::increase_health_penalty() {
     if (options_.faults.no_self_awareness || live_others_ <= 1) {
         return;
     }
-    doubt_ = std::min(doubt_ + 1, options_.maximum_doubt);
+    health_penalty_ = std::min(health_penalty_ + 1, options_.max_health_penalty);
 }
 
-void swim_core::doubt_self_less() {
-    doubt_ = doubt_ == 0 ? 0 : doubt_ - 1;
+void swim_core::decrease_health_penalty() {
+    health_penalty_ = health_penalty_ == 0 ? 0 : health_penalty_ - 1;
 }
 
 }  // namespace pearbarrow::membership
--- a/src/pearbarrow/membership/swim_members.cc
+++ b/src/pearbarrow/membership/swim_members.cc
@@ -1,4 +1,4 @@
-/// The member table: what is believed of whom; see swim.h.
+/// The member table and the state of each member; see swim.h.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -10,10 +10,10 @@
 namespace pearbarrow::membership {
 namespace {
 
-/// About this many nodes probe a suspect as soon as they hear of it.
-constexpr double prompt_probes = 8.0;
+/// Expected number of nodes that probe a suspect as soon as they learn of the suspicion.
+constexpr double expected_prompt_probes = 8.0;
 
-auto strength(const member& value) {
+auto precedence(const member& value) {
     return std::make_tuple(value.generation, value.incarnation, value.state);
 }
 
@@ -27,10 +27,10 @@
     for (const auto& [id, entry] : entries_) {
         result.push_back(entry.value);
     }
-    const auto place =
+    const auto position =
         std::lower_bound(result.begin(), result.end(), self_.id,
                          [](const member& each, const base::node_id& id) { return each.id < id; });
-    result.insert(place, self_);
+    result.insert(position, self_);
     return result;
 }
 
@@ -62,13 +62,13 @@
     return lowest;
 }
 
-void swim_core::count_change(bool was_live, bool is_live) {
+void swim_core::update_live_count(bool was_live, bool is_live) {
     live_others_ += is_live ? 1 : 0;
     live_others_ -= was_live ? 1 : 0;
     groups_are_stale_ = true;
 }
 
-void swim_core::regroup() {
+void swim_core::rebuild_groups() {
     if (!groups_are_stale_) {
         return;
     }
@@ -89,7 +89,7 @@
             continue;
         }
         live_.push_back(&entry);
-        // Unsigned arithmetic wraps, as the ring does.
+        // Unsigned subtraction wraps around like the ring.
         const std::uint64_t distance = entry.ring_position - ring_position_;
         if (successor_ == nullptr || distance < best_distance) {
             successor_ = &entry;
@@ -98,7 +98,7 @@
     }
 }
 
-// ---- Records: what a node says of itself ----
+// ---- Records: state announced by a node itself ----
 
 void swim_core::merge_record(const wire::member_record& record, base::instant now, actions& out) {
     if (record.id == self_.id) {
@@ -108,17 +108,17 @@
     const member next = from_record(record);
     const auto found = entries_.find(next.id);
     if (found == entries_.end()) {
-        // The unknown dead stay unknown, or they would be told of for ever.
+        // Unknown dead members are ignored; otherwise they would be gossiped forever.
         if (next.is_live()) {
             add_member(next, now, out);
         }
         return;
     }
     member_entry& entry = found->second;
-    if (strength(next) > strength(entry.value)) {
-        adopt(entry, next, now, out);
+    if (precedence(next) > precedence(entry.value)) {
+        update_member(entry, next, now, out);
     } else if (next.generation == entry.value.generation) {
-        note_config_version(next.id, next.config_version, out);
+        record_config_version(next.id, next.config_version, out);
     }
 }
 
@@ -129,18 +129,19 @@
     entry.ring_position = base::stable_hash(next.id.value());
     entry.report_hash = report_hash(next.id, next.generation);
     by_report_hash_[entry.report_hash] = next.id;
-    count_change(false, true);
+    update_live_count(false, true);
     if (next.state == member_state::suspect) {
         entry.value.state = member_state::alive;
         set_state(entry, member_state::suspect, now, out);
     }
-    spread(next.id);
+    enqueue_update(next.id);
     out.emplace_back(member_changed{entry.value, std::nullopt, false});
 }
 
-void swim_core::adopt(member_entry& entry, const member& next, base::instant now, actions& out) {
+void swim_core::update_member(member_entry& entry, const member& next, base::instant now,
+                              actions& out) {
     const member_state previous = entry.value.state;
-    count_change(entry.value.is_live(), next.is_live());
+    update_live_count(entry.value.is_live(), next.is_live());
     const bool restarted = next.generation != entry.value.generation;
     const base::config_version reported = entry.value.config_version;
     entry.value = next;
@@ -159,14 +160,14 @@
     if (previous != entry.value.state) {
         entry.since = now;
     }
-    spread(next.id);
+    enqueue_update(next.id);
     out.emplace_back(member_changed{entry.value, previous, false});
 }
 
 void swim_core::merge_record_of_self(const wire::member_record& record, actions& out) {
     const member other = from_record(record);
     if (other.generation <= self_.generation) {
-        defend_self(other.generation, other.incarnation, other.state);
+        refute(other.generation, other.incarnation, other.state);
         return;
     }
     if (other.is_live() && other.metadata.datagram != self_.metadata.datagram) {
@@ -176,17 +177,16 @@
         }
         return;
     }
-    // An earlier process of this node, started when the clock was ahead.
-    defend_self(other.generation, other.incarnation, member_state::dead);
+    // The record belongs to an earlier process of this node whose clock was ahead.
+    refute(other.generation, other.incarnation, member_state::dead);
 }
 
-// ---- Accusations: what others say of a node ----
+// ---- Accusations: state of a node reported by others ----
 
 void swim_core::merge_accusation(const wire::member_accusation& accusation, bool from_table,
                                  base::instant now, actions& out) {
     if (accusation.id == self_.id) {
-        defend_self(accusation.generation, accusation.incarnation,
-                    state_from_wire(accusation.state));
+        refute(accusation.generation, accusation.incarnation, state_from_wire(accusation.state));
         return;
     }
     const auto found = entries_.find(accusation.id);
@@ -194,22 +194,22 @@
         return;
     }
     member_entry& entry = found->second;
-    const bool old_death = from_table && entry.value.is_live() &&
-                           state_from_wire(accusation.state) == member_state::dead;
-    if (old_death && accusation.incarnation >= entry.value.incarnation) {
-        // The other side of a partition that has healed took it for dead. Let it refute that
-        // instead of believing it; if it is dead indeed, the probe will tell.
-        const double chance = prompt_probes / static_cast<double>(live_others_ + 1);
+    const bool is_old_death = from_table && entry.value.is_live() &&
+                              state_from_wire(accusation.state) == member_state::dead;
+    if (is_old_death && accusation.incarnation >= entry.value.incarnation) {
+        // The other side of a healed partition considered the member dead. The probe allows the
+        // member to refute this; if the member is dead, the probe detects it.
+        const double chance = expected_prompt_probes / static_cast<double>(live_others_ + 1);
         if (random_.chance(chance) && !is_probed(entry.value.id)) {
             start_probe(entry, now, out, &accusation);
         }
         return;
     }
-    accuse(entry, accusation, now, out);
+    apply_accusation(entry, accusation, now, out);
 }
 
-void swim_core::accuse(member_entry& entry, const wire::member_accusation& accusation,
-                       base::instant now, actions& out) {
+void swim_core::apply_accusation(member_entry& entry, const wire::member_accusation& accusation,
+                                 base::instant now, actions& out) {
     const member_state state = state_from_wire(accusation.state);
     if (accusation.incarnation < entry.value.incarnation || state < entry.value.state ||
         state == member_state::alive) {
@@ -227,7 +227,7 @@
         return;
     }
     confirm_suspicion(entry, accusation.accuser, now);
-    const double chance = prompt_probes / static_cast<double>(live_others_ + 1);
+    const double chance = expected_prompt_probes / static_cast<double>(live_others_ + 1);
     if (accusation.accuser != self_.id && random_.chance(chance) && !is_probed(entry.value.id)) {
         start_probe(entry, now, out);
     }
@@ -236,7 +236,7 @@
 void swim_core::set_state(member_entry& entry, member_state state, base::instant now,
                           actions& out) {
     const member_state previous = entry.value.state;
-    count_change(entry.value.is_live(), state <= member_state::suspect);
+    update_live_count(entry.value.is_live(), state <= member_state::suspect);
     entry.value.state = state;
     entry.since = now;
     entry.accusers.clear();
@@ -244,42 +244,41 @@
         ++statistics_.suspicions;
         entry.suspicion_started = now;
         entry.last_probe_sent = false;
-        entry.suspicion_ends = now + shortest_suspicion() * options_.suspicion_maximum_factor;
+        entry.suspicion_ends = now + min_suspicion() * options_.max_suspicion_factor;
     }
-    spread(entry.value.id);
+    enqueue_update(entry.value.id);
     out.emplace_back(member_changed{entry.value, previous, false});
 }
 
 void swim_core::confirm_suspicion(member_entry& entry, const base::node_id& accuser,
                                   base::instant now) {
     const std::size_t others = live_others_ <= 1 ? 0 : live_others_ - 1;
-    const std::size_t wanted = std::min<std::size_t>(options_.confirmations_wanted, others);
-    const bool known =
+    const std::size_t required = std::min<std::size_t>(options_.required_confirmations, others);
+    const bool is_known =
         std::find(entry.accusers.begin(), entry.accusers.end(), accuser) != entry.accusers.end();
-    if (known || entry.accusers.size() > wanted) {
+    if (is_known || entry.accusers.size() > required) {
         return;
     }
     entry.accusers.push_back(accuser);
-    spread(entry.value.id);
-    const double shortest = static_cast<double>(shortest_suspicion().count());
-    const double longest = shortest * options_.suspicion_maximum_factor;
+    enqueue_update(entry.value.id);
+    const double shortest = static_cast<double>(min_suspicion().count());
+    const double longest = shortest * options_.max_suspicion_factor;
     const double confirmations = static_cast<double>(entry.accusers.size() - 1);
     const double progress =
-        wanted == 0 ? 1.0 : std::log1p(confirmations) / std::log1p(static_cast<double>(wanted));
+        required == 0 ? 1.0 : std::log1p(confirmations) / std::log1p(static_cast<double>(required));
     const double length = longest - (longest - shortest) * std::min(1.0, progress);
     entry.suspicion_ends =
         entry.suspicion_started + base::microseconds(static_cast<std::int64_t>(length));
 }
 
-void swim_core::defend_self(std::uint64_t generation, std::uint64_t incarnation,
-                            member_state state) {
+void swim_core::refute(std::uint64_t generation, std::uint64_t incarnation, member_state state) {
     if (leaving_ || options_.faults.no_refutation) {
         return;
     }
     if (generation > self_.generation && state >= member_state::dead) {
         self_.generation = generation + 1;
         self_report_hash_ = report_hash(self_.id, self_.generation);
-        spread(self_.id);
+        enqueue_update(self_.id);
         return;
     }
     const bool accused = state != member_state::alive && incarnation >= self_.incarnation;
@@ -289,15 +288,15 @@
     }
     self_.incarnation = incarnation + 1;
     ++statistics_.refutations;
-    doubt_self_more();
-    spread(self_.id);
+    increase_health_penalty();
+    enqueue_update(self_.id);
 }
 
 void swim_core::check_suspicions(base::instant now, actions& out) {
     if (now < no_accusation_before_) {
         return;
     }
-    regroup();
+    rebuild_groups();
     for (const base::node_id& id : std::vector<base::node_id>(suspects_)) {
         member_entry& entry = entries_.at(id);
         if (now >= entry.suspicion_ends) {
@@ -305,29 +304,29 @@
             set_state(entry, member_state::dead, now, out);
             continue;
         }
-        // The refutation may have been lost on its way here: ask the suspect itself.
-        const bool ending = now >= entry.suspicion_ends - scaled(options_.indirect_timeout);
-        if (ending && !entry.last_probe_sent && !options_.faults.no_last_probe) {
+        // A refutation may have been lost, so this node probes the suspect once more.
+        const bool expires_soon =
+            now >= entry.suspicion_ends - scaled_timeout(options_.indirect_timeout);
+        if (expires_soon && !entry.last_probe_sent && !options_.faults.no_last_probe) {
             entry.last_probe_sent = true;
             start_probe(entry, now, out);
         }
     }
 }
 
-void swim_core::note_answer_of(const probe& answered, base::instant now) {
-    const auto found = entries_.find(answered.target);
+void swim_core::on_probe_acknowledged(const probe& acknowledged, base::instant now) {
+    const auto found = entries_.find(acknowledged.target);
     if (found == entries_.end() || options_.faults.no_last_probe ||
-        found->second.value.generation != answered.generation ||
+        found->second.value.generation != acknowledged.generation ||
         found->second.value.state != member_state::suspect) {
         return;
     }
-    // It lives, whoever accuses it: its refutation is on the way.
-    found->second.suspicion_ends =
-        std::max(found->second.suspicion_ends, now + shortest_suspicion());
+    // The suspect is alive regardless of the accusations, and its refutation is on the way.
+    found->second.suspicion_ends = std::max(found->second.suspicion_ends, now + min_suspicion());
     found->second.last_probe_sent = false;
 }
 
-void swim_core::forget_old(base::instant now, actions& out) {
+void swim_core::remove_expired(base::instant now, actions& out) {
     std::erase_if(entries_, [&](const auto& each) {
         const member_entry& entry = each.second;
         if (entry.value.is_live() || now - entry.since < options_.forget_after) {
@@ -345,18 +344,18 @@
 void swim_core::merge_report(const wire::config_report& report, actions& out) {
     const auto found = by_report_hash_.find(report.member_hash);
     if (found != by_report_hash_.end()) {
-        note_config_version(found->second, report.version, out);
+        record_config_version(found->second, report.version, out);
     }
 }
 
-void swim_core::note_config_version(const base::node_id& id, base::config_version version,
-                                    actions& out) {
+void swim_core::record_config_version(const base::node_id& id, base::config_version version,
+                                      actions& out) {
     const auto found = entries_.find(id);
     if (found == entries_.end() || version <= found->second.value.config_version) {
         return;
     }
     found->second.value.config_version = version;
-    spread_report(found->second.report_hash);
+    enqueue_report(found->second.report_hash);
     out.emplace_back(member_config_version{id, version});
 }
 
--- a/src/pearbarrow/membership/swim_messages.cc
+++ b/src/pearbarrow/membership/swim_messages.cc
@@ -1,4 +1,4 @@
-/// Datagrams in and out; see swim.h.
+/// Encoding and handling of datagrams; see swim.h.
 #include <algorithm>
 
 #include "pearbarrow/membership/member_wire.h"
@@ -8,9 +8,9 @@
 namespace pearbarrow::membership {
 namespace {
 
-/// Bytes kept free for the headers of lists that grow past 15 items.
+/// Bytes reserved for the headers of lists that grow beyond 15 items.
 constexpr std::size_t list_header_bytes = 12;
-/// A configuration report as packed: list header, hash, version.
+/// Encoded size of a configuration report: list header, hash and version.
 constexpr std::size_t report_bytes = 1 + 9 + 5;
 
 }  // namespace
@@ -21,7 +21,7 @@
     const auto message = wire::decode<wire::swim_datagram>(event.payload);
     if (!message.ok() || message->protocol != wire::membership_protocol ||
         message->cluster != cluster_hash_ || message->from == self_.id) {
-        ++statistics_.datagrams_refused;
+        ++statistics_.datagrams_rejected;
         return;
     }
     last_datagram_ = now;
@@ -42,7 +42,7 @@
     }
     const auto sender = entries_.find(message.from);
     if (sender != entries_.end() && sender->second.value.generation == message.from_generation) {
-        note_config_version(message.from, message.config_version, out);
+        record_config_version(message.from, message.config_version, out);
     }
     switch (message.kind) {
         case wire::swim_message_kind::ping:
@@ -66,28 +66,28 @@
 void swim_core::handle_ping(const net::endpoint& from, const wire::swim_datagram& message,
                             base::instant now, actions& out) {
     if (!message.target.value().empty() && message.target != self_.id) {
-        return;  // Meant for an earlier user of this address.
+        return;  // The ping is for an earlier node at this address.
     }
     if (leaving_ && leave_reported_) {
         return;
     }
-    wire::swim_datagram answer = make_message(wire::swim_message_kind::ack, message.sequence);
+    wire::swim_datagram ack = make_message(wire::swim_message_kind::ack, message.sequence);
     const bool accused =
         std::any_of(message.accusations.begin(), message.accusations.end(),
                     [&](const wire::member_accusation& each) { return each.id == self_.id; });
     if (accused && !leaving_) {
-        // Whoever told of it hears the refutation at once.
-        answer.records.push_back(to_record(self_));
+        // The node that sent the accusation receives the refutation immediately.
+        ack.records.push_back(to_record(self_));
     }
     const auto sender = entries_.find(message.from);
-    const bool known =
+    const bool is_known =
         sender != entries_.end() && sender->second.value.generation >= message.from_generation;
-    if (known) {
-        // A sender that was taken for dead hears of it and refutes.
-        answer.accusations = accusations_of(sender->second);
+    if (is_known) {
+        // A sender that this node considers dead receives the accusation and can refute it.
+        ack.accusations = accusations_of(sender->second);
     }
-    send(from, std::move(answer), true, out);
-    if (!known && gossip_allowance_ > 0) {
+    send(from, std::move(ack), true, out);
+    if (!is_known && gossip_allowance_ > 0) {
         send_digests(from, true, out);
     }
 }
@@ -104,13 +104,13 @@
     return message;
 }
 
-void swim_core::send(const net::endpoint& to, wire::swim_datagram message, bool with_news,
+void swim_core::send(const net::endpoint& to, wire::swim_datagram message, bool with_updates,
                      actions& out) {
     if (to.port == 0) {
         return;
     }
-    if (with_news && !(news_.empty() && reports_.empty())) {
-        add_news(message, wire::encode(message).size());
+    if (with_updates && !(pending_updates_.empty() && reports_.empty())) {
+        add_updates(message, wire::encode(message).size());
     }
     std::string payload = wire::encode(message);
     ++statistics_.datagrams_sent;
@@ -118,17 +118,19 @@
     out.emplace_back(send_datagram{to, std::move(payload)});
 }
 
-void swim_core::add_news(wire::swim_datagram& message, std::size_t size) {
+void swim_core::add_updates(wire::swim_datagram& message, std::size_t size) {
     const std::size_t room_limit = options_.max_datagram_bytes - list_header_bytes;
     if (size >= room_limit) {
         return;
     }
     std::size_t room = room_limit - size;
-    // The least sent first, so that fresh news is not held up by old.
-    std::stable_sort(news_.begin(), news_.end(),
-                     [](const news& left, const news& right) { return left.sent < right.sent; });
-    for (news& each : news_) {
-        const std::size_t used = add_news_about(each.about, room, message);
+    // Updates that were sent least come first, so that old updates do not delay new ones.
+    std::stable_sort(pending_updates_.begin(), pending_updates_.end(),
+                     [](const pending_update& left, const pending_update& right) {
+                         return left.sent < right.sent;
+                     });
+    for (pending_update& each : pending_updates_) {
+        const std::size_t used = add_update(each.about, room, message);
         if (used == 0) {
             break;
         }
@@ -136,12 +138,12 @@
         ++each.sent;
     }
     const std::size_t limit = retransmit_limit();
-    std::erase_if(news_, [&](const news& each) { return each.sent >= limit; });
+    std::erase_if(pending_updates_, [&](const pending_update& each) { return each.sent >= limit; });
     add_reports(message, room);
 }
 
-std::size_t swim_core::add_news_about(const base::node_id& about, std::size_t room,
-                                      wire::swim_datagram& message) const {
+std::size_t swim_core::add_update(const base::node_id& about, std::size_t room,
+                                  wire::swim_datagram& message) const {
     if (about == self_.id && !leaving_) {
         message.records.push_back(to_record(self_));
         const std::size_t size = wire::encode(message.records.back()).size();
@@ -161,20 +163,20 @@
         }
         return size;
     }
-    std::vector<wire::member_accusation> said;
+    std::vector<wire::member_accusation> accusations;
     if (about == self_.id) {
-        said.push_back(own_farewell());
+        accusations.push_back(own_leave_announcement());
     } else if (found != entries_.end()) {
-        said = accusations_of(found->second);
+        accusations = accusations_of(found->second);
     }
     std::size_t size = 1;
-    for (const wire::member_accusation& each : said) {
+    for (const wire::member_accusation& each : accusations) {
         size += wire::encode(each).size();
     }
     if (size > room) {
         return 0;
     }
-    message.accusations.insert(message.accusations.end(), said.begin(), said.end());
+    message.accusations.insert(message.accusations.end(), accusations.begin(), accusations.end());
     return size;
 }
 
@@ -201,20 +203,20 @@
     if (about.state == member_state::alive) {
         return result;
     }
-    const wire::member_accusation said{about.id, about.generation, about.incarnation,
-                                       static_cast<std::uint8_t>(about.state), self_.id};
+    const wire::member_accusation accusation{about.id, about.generation, about.incarnation,
+                                             static_cast<std::uint8_t>(about.state), self_.id};
     if (about.state != member_state::suspect) {
-        result.push_back(said);
+        result.push_back(accusation);
         return result;
     }
     for (const base::node_id& accuser : entry.accusers) {
-        result.push_back(said);
+        result.push_back(accusation);
         result.back().accuser = accuser;
     }
     return result;
 }
 
-wire::member_accusation swim_core::own_farewell() const {
+wire::member_accusation swim_core::own_leave_announcement() const {
     return {self_.id, self_.generation, self_.incarnation,
             static_cast<std::uint8_t>(member_state::left), self_.id};
 }
--- a/tests/simulation/membership/membership_figures.cc
+++ b/tests/simulation/membership/membership_figures.cc
@@ -1,7 +1,7 @@
-/// Prints what membership costs and how fast it is, in virtual time, at several fleet sizes.
+/// Prints the cost and the speed of membership in virtual time for several fleet sizes.
 ///
-/// Usage: membership_figures [seed] [nodes...]. Bytes include 28 bytes of IP and UDP headers for
-/// each datagram. Processor time is that of the cores and of the simulated network together.
+/// Usage: membership_figures [seed] [nodes...]. Bytes include 28 bytes of IP and UDP headers per
+/// datagram. Processor time is the total of the cores and the simulated network.
 #include <algorithm>
 #include <cstdio>
 #include <ctime>
@@ -16,18 +16,18 @@
 using pearbarrow::simulation::swim_simulation;
 using pearbarrow::simulation::swim_simulation_options;
 
-constexpr double seconds_a_step = 20;
+constexpr double seconds_per_step = 20;
 constexpr int kills = 10;
 
 double seconds_between(pearbarrow::base::instant from, pearbarrow::base::instant to) {
     return std::chrono::duration<double>(to - from).count();
 }
 
-/// Time until every other node knows that `index` is gone.
+/// Returns the time until every other node considers `index` not live.
 double detection(swim_simulation& fleet, std::size_t index) {
     const auto start = fleet.now();
     fleet.kill(index);
-    const auto all_know = [&] { return fleet.known_not_live(index) == fleet.running_count(); };
+    const auto all_know = [&] { return fleet.count_not_live(index) == fleet.running_count(); };
     return fleet.run_until(all_know, milliseconds(60'000)) ? seconds_between(start, fleet.now())
                                                            : -1;
 }
@@ -39,9 +39,9 @@
 }
 
 struct rates {
-    double bytes_a_second = 0;
-    double most_bytes_a_second = 0;
-    double processor_milliseconds_a_second = 0;
+    double bytes_per_second = 0;
+    double max_bytes_per_second = 0;
+    double processor_milliseconds_per_second = 0;
 };
 
 rates measure(swim_simulation& fleet, double duration) {
@@ -51,16 +51,17 @@
     const double processor = 1000.0 * static_cast<double>(std::clock() - before) / CLOCKS_PER_SEC;
     const double nodes = static_cast<double>(fleet.running_count());
     rates result;
-    result.bytes_a_second = static_cast<double>(fleet.bytes_sent()) / nodes / duration;
+    result.bytes_per_second = static_cast<double>(fleet.bytes_sent()) / nodes / duration;
     for (std::size_t index = 0; index < fleet.size(); ++index) {
-        result.most_bytes_a_second = std::max(
-            result.most_bytes_a_second, static_cast<double>(fleet.bytes_sent_by(index)) / duration);
+        result.max_bytes_per_second =
+            std::max(result.max_bytes_per_second,
+                     static_cast<double>(fleet.bytes_sent_by(index)) / duration);
     }
-    result.processor_milliseconds_a_second = processor / nodes / duration;
+    result.processor_milliseconds_per_second = processor / nodes / duration;
     return result;
 }
 
-/// All nodes come to report a new configuration version; returns when everybody knows it.
+/// Makes all nodes report a new configuration version and returns the time until all nodes know it.
 double report_time(swim_simulation& fleet, std::uint64_t version) {
     const auto start = fleet.now();
     for (std::size_t index = 0; index < fleet.size(); ++index) {
@@ -83,8 +84,8 @@
 
 void print_rates(const char* what, const rates& value) {
     std::printf("  %-34s %8.0f B/s a node (most %.0f), processor %.3f ms/s a node\n", what,
-                value.bytes_a_second, value.most_bytes_a_second,
-                value.processor_milliseconds_a_second);
+                value.bytes_per_second, value.max_bytes_per_second,
+                value.processor_milliseconds_per_second);
 }
 
 void print_figures(std::size_t nodes, std::uint64_t seed) {
@@ -98,7 +99,7 @@
     fleet.start_all();
     std::printf("  all start at once: converged after %.2f s\n", until_converged(fleet));
     fleet.run_for(milliseconds(30'000));
-    print_rates("quiet", measure(fleet, seconds_a_step));
+    print_rates("quiet", measure(fleet, seconds_per_step));
 
     std::vector<double> times;
     for (int kill = 0; kill < kills; ++kill) {
@@ -117,7 +118,7 @@
     const double reported = report_time(fleet, 1);
     std::printf("  every node's report of a new configuration is everywhere after %.2f s\n",
                 reported);
-    const double rest = seconds_a_step - seconds_between(change_started, fleet.now());
+    const double rest = seconds_per_step - seconds_between(change_started, fleet.now());
     fleet.run_for(milliseconds(static_cast<std::int64_t>(std::max(0.0, rest) * 1000)));
     std::printf("  with one change in %.0f s           %8.0f B/s a node\n",
                 seconds_between(change_started, fleet.now()),
--- a/tests/simulation/membership/swim_simulation.cc
+++ b/tests/simulation/membership/swim_simulation.cc
@@ -58,7 +58,7 @@
     for (std::size_t seed = 0; seed < std::min(seed_count, nodes_.size()); ++seed) {
         hints.endpoints.push_back(nodes_[seed].self.metadata.datagram);
     }
-    carry_out(index, started.core->apply(hints, now_));
+    execute(index, started.core->apply(hints, now_));
     const auto offset = random_.below(base::microseconds(tick_period).count());
     schedule_tick(index, now_ + base::microseconds(offset));
 }
@@ -103,27 +103,27 @@
     if (now_ < target.paused_until) {
         timed_event later = event;
         later.at = target.paused_until;
-        // The worst case: timers run before the datagrams that waited are read.
+        // Worst case: timers run before the buffered datagrams are read.
         later.order = event.is_tick ? event.order : next_order_++;
         events_.push(std::move(later));
         return;
     }
     if (event.is_tick) {
         schedule_tick(event.target, now_ + tick_period);
-        carry_out(event.target, target.core->apply(membership::swim_tick{}, now_));
+        execute(event.target, target.core->apply(membership::swim_tick{}, now_));
         return;
     }
-    carry_out(event.target,
-              target.core->apply(membership::datagram_received{event.from, event.payload}, now_));
+    execute(event.target,
+            target.core->apply(membership::datagram_received{event.from, event.payload}, now_));
 }
 
-void swim_simulation::carry_out(std::size_t index,
-                                const std::vector<membership::swim_action>& actions) {
+void swim_simulation::execute(std::size_t index,
+                              const std::vector<membership::swim_action>& actions) {
     for (const membership::swim_action& action : actions) {
         if (const auto* datagram = std::get_if<membership::send_datagram>(&action)) {
             transmit(index, *datagram);
         } else if (const auto* change = std::get_if<membership::member_changed>(&action)) {
-            note_change(index, *change);
+            record_change(index, *change);
         } else if (std::holds_alternative<membership::leave_finished>(action)) {
             ++leaves_finished_;
             nodes_[index].core.reset();
@@ -138,18 +138,18 @@
     bytes_sent_ += bytes;
     nodes_[from].bytes_sent += bytes;
     const std::size_t target = datagram.to.port - first_port;
-    if (target >= nodes_.size() || (passes_ && !passes_(from, target))) {
+    if (target >= nodes_.size() || (link_filter_ && !link_filter_(from, target))) {
         return;
     }
     const int copies = random_.chance(options_.duplication) ? 2 : 1;
     const auto spread =
-        static_cast<std::uint64_t>((options_.longest_delay - options_.shortest_delay).count());
+        static_cast<std::uint64_t>((options_.max_delay - options_.min_delay).count());
     for (int copy = 0; copy < copies; ++copy) {
         if (random_.chance(options_.loss)) {
             continue;
         }
         timed_event event;
-        event.at = now_ + options_.shortest_delay + base::microseconds(random_.below(spread + 1));
+        event.at = now_ + options_.min_delay + base::microseconds(random_.below(spread + 1));
         event.order = next_order_++;
         event.target = target;
         event.from = nodes_[from].self.metadata.datagram;
@@ -158,7 +158,8 @@
     }
 }
 
-void swim_simulation::note_change(std::size_t observer, const membership::member_changed& change) {
+void swim_simulation::record_change(std::size_t observer,
+                                    const membership::member_changed& change) {
     if (change.current.state != member_state::dead || change.forgotten ||
         change.previous == member_state::dead) {
         return;
@@ -186,16 +187,16 @@
 }
 
 void swim_simulation::leave(std::size_t index) {
-    carry_out(index, nodes_[index].core->apply(membership::leave{}, now_));
+    execute(index, nodes_[index].core->apply(membership::leave{}, now_));
 }
 
 void swim_simulation::set_links(std::function<bool(std::size_t, std::size_t)> passes) {
-    passes_ = std::move(passes);
+    link_filter_ = std::move(passes);
 }
 
 void swim_simulation::set_config_version(std::size_t index, std::uint64_t version) {
-    carry_out(index, nodes_[index].core->apply(
-                         membership::config_version_changed{base::config_version(version)}, now_));
+    execute(index, nodes_[index].core->apply(
+                       membership::config_version_changed{base::config_version(version)}, now_));
 }
 
 std::size_t swim_simulation::running_count() const {
@@ -225,7 +226,7 @@
     return true;
 }
 
-std::size_t swim_simulation::known_not_live(std::size_t index) const {
+std::size_t swim_simulation::count_not_live(std::size_t index) const {
     std::size_t count = 0;
     for (std::size_t observer = 0; observer < nodes_.size(); ++observer) {
         if (observer == index || nodes_[observer].core == nullptr) {
--- a/tests/simulation/membership/swim_simulation.h
+++ b/tests/simulation/membership/swim_simulation.h
@@ -1,4 +1,5 @@
-/// Many `swim_core`s over a simulated network in virtual time. The same seed gives the same run.
+/// Many `swim_core`s on a simulated network in virtual time. A seed always produces the same
+/// execution.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +25,8 @@
     double loss = 0;
     /// Probability that a datagram arrives twice.
     double duplication = 0;
-    base::microseconds shortest_delay{500};
-    base::microseconds longest_delay{2'000};
+    base::microseconds min_delay{500};
+    base::microseconds max_delay{2'000};
     membership::swim_options swim;
 };
 
@@ -33,19 +34,19 @@
   public:
     explicit swim_simulation(swim_simulation_options options);
 
-    /// Starts every node; the first three are everybody's seeds.
+    /// Starts all nodes. The first three are the seeds of every node.
     void start_all();
     void run_for(base::milliseconds duration);
-    /// Runs until the condition holds, checked every 50 ms; false when `limit` passes first.
+    /// Runs until the condition holds, which is checked every 50 ms. Returns false after `limit`.
     bool run_until(const std::function<bool()>& condition, base::milliseconds limit);
 
     void kill(std::size_t index);
-    /// Starts a node again, as a new process.
+    /// Starts a node as a new process.
     void restart(std::size_t index);
-    /// Freezes a process; datagrams wait for it, as in a socket's buffer.
+    /// Pauses a process. Its datagrams are buffered, as in a socket.
     void pause(std::size_t index, base::milliseconds duration);
     void leave(std::size_t index);
-    /// A datagram from one node to another passes only if `passes` says so; null: all pass.
+    /// Sets a filter for the datagrams between two nodes; null lets all datagrams pass.
     void set_links(std::function<bool(std::size_t from, std::size_t to)> passes);
     void set_loss(double loss) { options_.loss = loss; }
     void set_config_version(std::size_t index, std::uint64_t version);
@@ -56,16 +57,16 @@
     base::instant now() const { return now_; }
     base::random_source& random() { return random_; }
 
-    /// Every running node holds exactly the running nodes for live, none of them suspect.
+    /// Whether every running node considers exactly the running nodes alive.
     bool converged() const;
-    /// How many other running nodes hold `index` for not live.
-    std::size_t known_not_live(std::size_t index) const;
+    /// Number of other running nodes that do not consider `index` live.
+    std::size_t count_not_live(std::size_t index) const;
     std::size_t running_count() const;
-    /// Times that a running node that was not paused was declared dead by another.
+    /// Number of times that a running node that was not paused was declared dead by another node.
     std::uint64_t false_deaths() const { return false_deaths_; }
     std::uint64_t deaths_declared_by(std::size_t index) const;
     std::uint64_t largest_datagram() const { return largest_datagram_; }
-    /// Bytes sent and received by all nodes so far, with 28 bytes of IP and UDP headers each.
+    /// Bytes sent by all nodes, including 28 bytes of IP and UDP headers per datagram.
     std::uint64_t bytes_sent() const { return bytes_sent_; }
     std::uint64_t bytes_sent_by(std::size_t index) const { return nodes_.at(index).bytes_sent; }
     void reset_traffic();
@@ -80,7 +81,7 @@
         base::instant paused_until;
         std::uint64_t bytes_sent = 0;
         std::uint64_t deaths_declared = 0;
-        /// Counts the processes of this node: events for an earlier one are dropped.
+        /// Number of processes of this node. Events for an earlier process are dropped.
         std::uint64_t process = 0;
     };
     struct timed_event {
@@ -100,9 +101,9 @@
     void start(std::size_t index);
     void schedule_tick(std::size_t index, base::instant at);
     void deliver(const timed_event& event);
-    void carry_out(std::size_t index, const std::vector<membership::swim_action>& actions);
+    void execute(std::size_t index, const std::vector<membership::swim_action>& actions);
     void transmit(std::size_t from, const membership::send_datagram& datagram);
-    void note_change(std::size_t observer, const membership::member_changed& change);
+    void record_change(std::size_t observer, const membership::member_changed& change);
 
     swim_simulation_options options_;
     base::random_source random_;
@@ -110,7 +111,7 @@
     std::uint64_t next_order_ = 0;
     std::vector<node> nodes_;
     std::priority_queue<timed_event, std::vector<timed_event>, std::greater<>> events_;
-    std::function<bool(std::size_t, std::size_t)> passes_;
+    std::function<bool(std::size_t, std::size_t)> link_filter_;
     std::uint64_t false_deaths_ = 0;
     std::uint64_t largest_datagram_ = 0;
     std::uint64_t bytes_sent_ = 0;
--- a/tests/unit/membership/rendezvous_test.cc
+++ b/tests/unit/membership/rendezvous_test.cc
@@ -41,21 +41,21 @@
 
 }  // namespace
 
-Test(rendezvous, a_leaving_node_moves_only_its_own_shards) {
+Test(rendezvous, draining_node_loses_only_its_own_shards) {
     auto members = fleet(10);
     const auto before = owners(members);
     members[3].metadata.draining = true;
     const auto after = owners(members);
     int moved = 0;
     for (const auto& [shard, owner] : before) {
-        const bool was_its = owner == members[3].id;
-        cr_assert_eq(owner != after.at(shard), was_its);
-        moved += was_its ? 1 : 0;
+        const bool was_owned_by_leaving = owner == members[3].id;
+        cr_assert_eq(owner != after.at(shard), was_owned_by_leaving);
+        moved += was_owned_by_leaving ? 1 : 0;
     }
     cr_assert(moved > 120 && moved < 280, "%d of %u", moved, shard_count);
 }
 
-Test(rendezvous, weights_share_in_proportion) {
+Test(rendezvous, shards_are_proportional_to_weights) {
     auto members = fleet(4);
     members[0].metadata.weight = 300;
     members[1].metadata.weight = 0;
@@ -68,7 +68,7 @@
     cr_assert(heavy > 1'100 && heavy < 1'300, "%d, 1200 expected", heavy);
 }
 
-Test(rendezvous, only_live_nodes_of_the_region_own) {
+Test(rendezvous, only_live_nodes_of_the_region_are_owners) {
     auto members = fleet(3);
     members[0].state = membership::member_state::dead;
     members[1].metadata.region = base::region_name("east");
@@ -82,7 +82,7 @@
                                                members));
 }
 
-Test(rendezvous, followers_are_two_a_zone) {
+Test(rendezvous, each_zone_has_two_followers) {
     const auto members = fleet(20);
     const auto followers = membership::platform_followers(members);
     cr_assert_eq(followers.size(), 8);
@@ -90,7 +90,7 @@
     cr_assert_eq(membership::platform_followers({node(1)}).size(), 1);
 }
 
-Test(rendezvous, replicas_are_on_disks_in_different_zones) {
+Test(rendezvous, replicas_have_disks_and_different_zones) {
     auto members = fleet(12);
     members.push_back(node(50, 9, false));
     for (std::uint32_t shard = 0; shard < 100; ++shard) {
--- a/tests/unit/membership/swim_test.cc
+++ b/tests/unit/membership/swim_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-membership::member named(const std::string& name, std::uint16_t port) {
+membership::member make_member(const std::string& name, std::uint16_t port) {
     membership::member value;
     value.id = base::node_id(name);
     value.generation = 100;
@@ -23,7 +23,7 @@
     return value;
 }
 
-/// Two cores whose datagrams are handed over at once.
+/// Two cores that exchange datagrams without delay.
 struct pair_of_nodes {
     base::random_source random{1};
     base::instant now{};
@@ -32,57 +32,57 @@
 
     explicit pair_of_nodes(membership::swim_options first_options = {.cluster = "c"},
                            membership::swim_options second_options = {.cluster = "c"})
-        : first(first_options, named("a", 1), random, now),
-          second(second_options, named("b", 2), random, now) {}
+        : first(first_options, make_member("a", 1), random, now),
+          second(second_options, make_member("b", 2), random, now) {}
 
-    void carry(const std::vector<membership::swim_action>& actions) {
+    void deliver(const std::vector<membership::swim_action>& actions) {
         for (const auto& action : actions) {
             if (const auto* sent = std::get_if<membership::send_datagram>(&action)) {
                 const bool to_first = sent->to.port == 1;
                 const net::endpoint from{"10.0.0.1", static_cast<std::uint16_t>(to_first ? 2 : 1)};
-                carry((to_first ? first : second)
-                          .apply(membership::datagram_received{from, sent->payload}, now));
+                deliver((to_first ? first : second)
+                            .apply(membership::datagram_received{from, sent->payload}, now));
             }
         }
     }
     void join() {
-        carry(first.apply(membership::join_hints{{{"10.0.0.1", 2}}}, now));
+        deliver(first.apply(membership::join_hints{{{"10.0.0.1", 2}}}, now));
         for (int tick = 0; tick < 40; ++tick) {
             now += base::milliseconds(50);
-            carry(first.apply(membership::swim_tick{}, now));
-            carry(second.apply(membership::swim_tick{}, now));
+            deliver(first.apply(membership::swim_tick{}, now));
+            deliver(second.apply(membership::swim_tick{}, now));
         }
     }
 };
 
 }  // namespace
 
-Test(swim, metadata_travels_whole) {
+Test(swim, metadata_is_propagated_completely) {
     pair_of_nodes nodes;
     nodes.join();
     const auto seen = nodes.second.find(base::node_id("a"));
     cr_assert(seen.has_value());
-    cr_assert(seen->metadata == named("a", 1).metadata);
-    auto changed = named("a", 1).metadata;
+    cr_assert(seen->metadata == make_member("a", 1).metadata);
+    auto changed = make_member("a", 1).metadata;
     changed.draining = true;
-    nodes.carry(nodes.first.apply(membership::metadata_changed{changed}, nodes.now));
+    nodes.deliver(nodes.first.apply(membership::metadata_changed{changed}, nodes.now));
     nodes.join();
     cr_assert(nodes.second.find(base::node_id("a"))->metadata.draining);
     cr_assert_not(nodes.second.find(base::node_id("a"))->takes_work());
 }
 
-Test(swim, other_clusters_and_garbage_are_refused) {
+Test(swim, foreign_and_malformed_datagrams_are_rejected) {
     pair_of_nodes nodes({.cluster = "c"}, {.cluster = "d"});
     nodes.join();
     cr_assert_eq(nodes.first.live_count(), 1);
-    cr_assert_gt(nodes.second.statistics().datagrams_refused, 0);
+    cr_assert_gt(nodes.second.statistics().datagrams_rejected, 0);
     for (const char* garbage : {"", "x", "\x93\x01\x02", "\xdd\xff\xff\xff\xff"}) {
         nodes.first.apply(membership::datagram_received{{"10.0.0.9", 9}, garbage}, nodes.now);
     }
     cr_assert_eq(nodes.first.live_count(), 1);
 }
 
-Test(swim, an_accused_node_refutes_with_a_higher_incarnation) {
+Test(swim, accused_node_refutes_with_higher_incarnation) {
     pair_of_nodes nodes;
     nodes.join();
     wire::swim_datagram message;
@@ -101,19 +101,20 @@
     cr_assert(nodes.second.self().state == membership::member_state::alive);
 }
 
-Test(swim, a_later_process_of_the_same_name_elsewhere_is_reported) {
+Test(swim, later_process_with_same_id_is_reported) {
     pair_of_nodes nodes;
     nodes.join();
     base::random_source random{3};
-    auto impostor = named("a", 9);
-    impostor.generation = 200;
-    membership::swim_core other({.cluster = "c"}, impostor, random, nodes.now);
+    auto later_process = make_member("a", 9);
+    later_process.generation = 200;
+    membership::swim_core other({.cluster = "c"}, later_process, random, nodes.now);
     const auto sent = other.apply(membership::join_hints{{{"10.0.0.1", 1}}}, nodes.now);
     const auto ticked = other.apply(membership::swim_tick{}, nodes.now);
     bool reported = false;
     for (const auto& action : ticked) {
         if (const auto* datagram = std::get_if<membership::send_datagram>(&action)) {
-            // Through the other node: a datagram under one's own name is dropped.
+            // Sent through the other node because a node drops datagrams with its own id as the
+            // sender.
             nodes.second.apply(membership::datagram_received{{"10.0.0.1", 9}, datagram->payload},
                                nodes.now);
         }
@@ -122,10 +123,10 @@
         nodes.now += base::milliseconds(50);
         for (const auto& action : nodes.second.apply(membership::swim_tick{}, nodes.now)) {
             if (const auto* datagram = std::get_if<membership::send_datagram>(&action)) {
-                for (const auto& answer : nodes.first.apply(
+                for (const auto& reaction : nodes.first.apply(
                          membership::datagram_received{{"10.0.0.1", 2}, datagram->payload},
                          nodes.now)) {
-                    reported |= std::holds_alternative<membership::identity_taken>(answer);
+                    reported |= std::holds_alternative<membership::identity_taken>(reaction);
                 }
             }
         }
@@ -133,7 +134,7 @@
     cr_assert(reported);
 }
 
-Test(swim, dead_members_are_forgotten) {
+Test(swim, dead_members_are_removed) {
     membership::swim_options options{.cluster = "c"};
     options.forget_after = base::milliseconds(60'000);
     pair_of_nodes nodes(options, options);
