--- a/src/pearbarrow/turns/board_exchange.cc
+++ b/src/pearbarrow/turns/board_exchange.cc
@@ -12,22 +12,22 @@
 namespace pearbarrow::turns {
 
 board_exchange::board_exchange(net::event_loop& loop, net::peer_rpc& rpc, const base::clock& clock,
-                               dispatch::load_board& board, board_exchange_options options)
-    : loop(loop), rpc(rpc), clock(clock), board(board), options(std::move(options)) {
+                               dispatch::load_board& load_table, board_exchange_options options)
+    : loop(loop), rpc(rpc), clock(clock), load_table(load_table), options(std::move(options)) {
     this->rpc.register_method(wire::load_pull, [this](std::string_view payload, auto responder) {
-        this->take_question(payload, std::move(responder));
+        this->on_poll_request(payload, std::move(responder));
     });
-    this->board.on_report([this] { this->answer_waiting(); });
+    this->load_table.on_report([this] { this->reply_to_pending(); });
 }
 
 board_exchange::~board_exchange() {
-    this->board.on_report(nullptr);
+    this->load_table.on_report(nullptr);
 }
 
 void board_exchange::set_view(const directory::storage_view& view) {
     const directory::storage_member* self = view.find(this->options.self);
     const std::uint32_t groups = self == nullptr ? 0 : view.groups;
-    std::erase_if(this->questions, [&](const auto& entry) {
+    std::erase_if(this->group_polls, [&](const auto& entry) {
         return entry.first >= groups || entry.first == self->group;
     });
     for (std::uint32_t group = 0; group < groups; ++group) {
@@ -35,18 +35,19 @@
             continue;
         }
         auto sources = this->sources_of(view, group);
-        group_question& question = this->questions[group];
-        if (question.sources == sources) {
+        group_poll& poll_state = this->group_polls[group];
+        if (poll_state.sources == sources) {
             continue;
         }
-        question.sources = std::move(sources);
-        question.current = 0;
-        question.life = 0;
-        this->ask(group);
+        poll_state.sources = std::move(sources);
+        poll_state.current = 0;
+        poll_state.incarnation = 0;
+        this->poll(group);
     }
 }
 
-/// Nearest first; among equals each asking member begins with another.
+/// Sorts members of the own zone first. The hash order differs between polling members, which
+/// spreads them over the sources.
 std::vector<directory::storage_member> board_exchange::sources_of(
     const directory::storage_view& view, std::uint32_t group) const {
     std::vector<directory::storage_member> sources = members_of(view, group).members;
@@ -60,92 +61,95 @@
     return sources;
 }
 
-void board_exchange::ask(std::uint32_t group) {
-    group_question& question = this->questions.at(group);
-    question.next.reset();
-    if (question.sources.empty()) {
-        // The next view may name some.
-        question.call.reset();
+void board_exchange::poll(std::uint32_t group) {
+    group_poll& poll_state = this->group_polls.at(group);
+    poll_state.next_poll.reset();
+    if (poll_state.sources.empty()) {
+        // Polling resumes when a view with members of this group arrives.
+        poll_state.call.reset();
         return;
     }
-    const directory::storage_member& source = question.sources[question.current];
-    const load_pull_request message{.life = question.life, .after = question.through};
-    question.call = this->rpc.call(
+    const directory::storage_member& source = poll_state.sources[poll_state.current];
+    const load_pull_request message{.incarnation = poll_state.incarnation,
+                                    .after = poll_state.through};
+    poll_state.call = this->rpc.call(
         source.node, source.address, wire::load_pull, wire::encode(message),
         this->options.hold + this->options.answer_slack,
         {.on_part = nullptr, .on_done = [this, group](const absl::StatusOr<std::string>& payload) {
-             this->take_answer(group, payload);
+             this->on_poll_reply(group, payload);
          }});
 }
 
-void board_exchange::ask_later(std::uint32_t group, base::milliseconds delay) {
-    this->questions.at(group).next = this->loop.after(delay, [this, group] { this->ask(group); });
+void board_exchange::schedule_poll(std::uint32_t group, base::milliseconds delay) {
+    this->group_polls.at(group).next_poll =
+        this->loop.after(delay, [this, group] { this->poll(group); });
 }
 
-void board_exchange::take_answer(std::uint32_t group, const absl::StatusOr<std::string>& payload) {
-    group_question& question = this->questions.at(group);
+void board_exchange::on_poll_reply(std::uint32_t group,
+                                   const absl::StatusOr<std::string>& payload) {
+    group_poll& poll_state = this->group_polls.at(group);
     auto reply = payload.ok() ? wire::decode<load_pull_reply>(*payload)
                               : absl::StatusOr<load_pull_reply>(payload.status());
     if (!reply.ok()) {
-        if (std::exchange(question.was_answered, false)) {
+        if (std::exchange(poll_state.is_connected, false)) {
             nlohmann::json fields = base::log_fields(reply.status());
             fields["group"] = group;
-            fields["member"] = question.sources[question.current].node.value();
+            fields["member"] = poll_state.sources[poll_state.current].node.value();
             base::log(base::log_level::info, "load_source_lost", fields);
         }
-        question.current = (question.current + 1) % question.sources.size();
-        question.life = 0;
-        this->ask_later(group, this->options.retry);
+        poll_state.current = (poll_state.current + 1) % poll_state.sources.size();
+        poll_state.incarnation = 0;
+        this->schedule_poll(group, this->options.retry);
         return;
     }
-    question.was_answered = true;
-    question.life = reply->life;
-    question.through = reply->through;
+    poll_state.is_connected = true;
+    poll_state.incarnation = reply->incarnation;
+    poll_state.through = reply->through;
     for (const dispatch::load_report& report : reply->reports) {
-        this->board.take_passed_on(report, this->clock.now());
+        this->load_table.take_passed_on(report, this->clock.now());
     }
-    this->ask_later(group, this->options.pause);
+    this->schedule_poll(group, this->options.pause);
 }
 
-void board_exchange::take_question(std::string_view payload,
-                                   std::shared_ptr<net::peer_responder> responder) {
+void board_exchange::on_poll_request(std::string_view payload,
+                                     std::shared_ptr<net::peer_responder> responder) {
     const auto request = wire::decode<load_pull_request>(payload);
     if (!request.ok()) {
         responder->fail(request.status());
         return;
     }
-    waiting_question question;
-    question.after = request->life == this->options.life ? request->after : 0;
-    question.responder = std::move(responder);
-    if (this->board.last_report() > question.after) {
-        this->answer(question);
+    pending_poll pending;
+    pending.after = request->incarnation == this->options.life ? request->after : 0;
+    pending.responder = std::move(responder);
+    if (this->load_table.last_report() > pending.after) {
+        this->reply_to(pending);
         return;
     }
-    const auto position = this->waiting.insert(this->waiting.end(), std::move(question));
-    position->limit = this->loop.after(this->options.hold, [this, position] {
-        this->answer(*position);
-        this->waiting.erase(position);
+    const auto position = this->pending_polls.insert(this->pending_polls.end(), std::move(pending));
+    position->timeout = this->loop.after(this->options.hold, [this, position] {
+        this->reply_to(*position);
+        this->pending_polls.erase(position);
     });
 }
 
-void board_exchange::answer(const waiting_question& question) {
-    question.responder->finish(
-        wire::encode(load_pull_reply{.life = this->options.life,
-                                     .through = this->board.last_report(),
-                                     .reports = this->board.reports_after(question.after)}));
+void board_exchange::reply_to(const pending_poll& pending) {
+    pending.responder->finish(
+        wire::encode(load_pull_reply{.incarnation = this->options.life,
+                                     .through = this->load_table.last_report(),
+                                     .reports = this->load_table.reports_after(pending.after)}));
 }
 
-void board_exchange::answer_waiting() {
-    for (const waiting_question& question : this->waiting) {
-        this->answer(question);
+void board_exchange::reply_to_pending() {
+    for (const pending_poll& pending : this->pending_polls) {
+        this->reply_to(pending);
     }
-    this->waiting.clear();
+    this->pending_polls.clear();
 }
 
 std::size_t board_exchange::connected_groups() const {
     return static_cast<std::size_t>(
-        std::count_if(this->questions.begin(), this->questions.end(),
-                      [](const auto& entry) { return entry.second.was_answered; }));
+        std::count_if(this->group_polls.begin(), this->group_polls.end(),
+                      [](const auto& entry) { return entry.second.is_connected; }));
 }
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/board_exchange.h
+++ b/src/pearbarrow/turns/board_exchange.h
@@ -1,10 +1,11 @@
-/// Storage members of different replica groups tell each other of the load that nodes report.
+/// Exchanges the load reports of nodes between storage members of different replica groups.
 ///
-/// A node reports its load with the messages of a turn, to the members of the turn's group only,
-/// and takes the totals from one of them. Protocol: a member keeps a question open at one member of
-/// each other group, in its own zone where there is one ("what was reported since?"). The answer
-/// comes with the next report; the member asks again after a pause, in which more gather. Only what
-/// nodes reported to the answering member itself is passed on, so nothing goes round.
+/// A node reports its load with the messages of a turn, which only the members of the turn's group
+/// receive, and reads the load totals from one of them. Each member therefore keeps a long poll
+/// open at one member of each other group, in its own zone if possible. The reply is sent with the
+/// next load report; the member polls again after a delay, so that several reports share a reply. A
+/// member passes on only the reports that it received from nodes directly, so reports do not
+/// circulate.
 #pragma once
 
 #include <cstdint>
@@ -29,67 +30,69 @@
 struct board_exchange_options {
     base::node_id self;
     std::string zone;
-    /// Drawn at the start of the process, not 0.
+    /// Identifies this process lifetime; random and never 0.
     std::uint64_t life = 1;
-    /// Between an answer and the next question: the most that it adds to a report's age.
+    /// Delay between a reply and the next poll. It bounds the age that the exchange adds to a
+    /// report.
     base::milliseconds pause{100};
-    /// How long a question is held before it is answered with nothing.
+    /// Time after which a poll without new reports gets an empty reply.
     base::milliseconds hold{2'000};
-    /// What an answer may take beyond the hold before another member is asked.
+    /// Time that a reply may take beyond `hold` before another member is polled.
     base::milliseconds answer_slack{500};
-    /// After a question that failed.
+    /// Delay before the next poll after a failed one.
     base::milliseconds retry{200};
 };
 
 class board_exchange {
   public:
     board_exchange(net::event_loop& loop, net::peer_rpc& rpc, const base::clock& clock,
-                   dispatch::load_board& board, board_exchange_options options);
+                   dispatch::load_board& load_table, board_exchange_options options);
     ~board_exchange();
     board_exchange(const board_exchange&) = delete;
     board_exchange& operator=(const board_exchange&) = delete;
 
-    /// Call with each view of the whole fleet.
+    /// Must be called with each view of the whole fleet.
     void set_view(const directory::storage_view& view);
-    /// Other groups of which a member answers.
+    /// Number of other groups that currently reply to polls.
     std::size_t connected_groups() const;
 
   private:
-    /// A question of another member that waits for the next report.
-    struct waiting_question {
+    /// A poll of another member that waits for the next report.
+    struct pending_poll {
         std::uint64_t after = 0;
         std::shared_ptr<net::peer_responder> responder;
-        std::unique_ptr<net::timer_handle> limit;
+        std::unique_ptr<net::timer_handle> timeout;
     };
-    /// What is asked of one other group.
-    struct group_question {
-        /// In the order in which they are asked, the present one at `current`.
+    /// State of the polls of one other group.
+    struct group_poll {
+        /// Members of the group in order of preference; `current` is the index of the one being
+        /// polled.
         std::vector<directory::storage_member> sources;
         std::size_t current = 0;
-        /// The answering process's life, and how far it has been read.
-        std::uint64_t life = 0;
+        /// Incarnation of the polled process, and the number of its newest report received here.
+        std::uint64_t incarnation = 0;
         std::uint64_t through = 0;
-        bool was_answered = false;
+        bool is_connected = false;
         std::unique_ptr<net::peer_call_handle> call;
-        std::unique_ptr<net::timer_handle> next;
+        std::unique_ptr<net::timer_handle> next_poll;
     };
 
     std::vector<directory::storage_member> sources_of(const directory::storage_view& view,
                                                       std::uint32_t group) const;
-    void ask(std::uint32_t group);
-    void ask_later(std::uint32_t group, base::milliseconds delay);
-    void take_answer(std::uint32_t group, const absl::StatusOr<std::string>& payload);
-    void take_question(std::string_view payload, std::shared_ptr<net::peer_responder> responder);
-    void answer(const waiting_question& question);
-    void answer_waiting();
+    void poll(std::uint32_t group);
+    void schedule_poll(std::uint32_t group, base::milliseconds delay);
+    void on_poll_reply(std::uint32_t group, const absl::StatusOr<std::string>& payload);
+    void on_poll_request(std::string_view payload, std::shared_ptr<net::peer_responder> responder);
+    void reply_to(const pending_poll& poll);
+    void reply_to_pending();
 
     net::event_loop& loop;
     net::peer_rpc& rpc;
     const base::clock& clock;
-    dispatch::load_board& board;
+    dispatch::load_board& load_table;
     board_exchange_options options;
-    std::map<std::uint32_t, group_question> questions;
-    std::list<waiting_question> waiting;
+    std::map<std::uint32_t, group_poll> group_polls;
+    std::list<pending_poll> pending_polls;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/budget_check.cc
+++ b/src/pearbarrow/turns/budget_check.cc
@@ -6,9 +6,9 @@
 
 void reservation_union::add(const std::vector<reservation>& reservations) {
     for (const reservation& value : reservations) {
-        const auto [held, inserted] = entries_.emplace(value.turn, value);
-        if (!inserted && value.settled && !held->second.settled) {
-            held->second = value;
+        const auto [existing, inserted] = entries_.emplace(value.turn, value);
+        if (!inserted && value.settled && !existing->second.settled) {
+            existing->second = value;
         }
     }
 }
@@ -35,23 +35,23 @@
             ++counts[value.backend];
         }
     }
-    const auto most = std::max_element(
+    const auto most_frequent = std::max_element(
         counts.begin(), counts.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
-    return most == counts.end() ? 0 : most->first;
+    return most_frequent == counts.end() ? 0 : most_frequent->first;
 }
 
-budget_verdict judge_first(const reservation_union& known, const reservation& wanted,
-                           std::uint64_t budget) {
+budget_verdict check_reserved(const reservation_union& known, const reservation& wanted,
+                              std::uint64_t budget) {
     const std::uint64_t total = known.total_without(wanted.turn) + wanted.tokens;
     if (total > budget) {
         return budget_verdict::exceeded;
     }
-    return total * 2 > budget ? budget_verdict::look_again : budget_verdict::fits;
+    return total * 2 > budget ? budget_verdict::needs_reread : budget_verdict::fits;
 }
 
-budget_verdict judge_again(const reservation_union& known, const reservation& wanted,
-                           std::uint64_t budget) {
+budget_verdict check_reread(const reservation_union& known, const reservation& wanted,
+                            std::uint64_t budget) {
     const std::uint64_t total = known.total_without(wanted.turn) + wanted.tokens;
     return total > budget ? budget_verdict::exceeded : budget_verdict::fits;
 }
--- a/src/pearbarrow/turns/budget_check.h
+++ b/src/pearbarrow/turns/budget_check.h
@@ -1,10 +1,12 @@
-/// Whether a turn may be run within its program's budget, judged from what members confirmed.
+/// Decides whether a turn fits into its program's token budget, based on the reservations that
+/// storage members have confirmed.
 ///
-/// Every turn first reserves the most that it can cost on a majority of members, then judges by the
-/// union of what complete members know. Of two turns that reserved at the same time at least one
-/// sees the other, as their majorities meet in a member; among several, one sees at least half of
-/// the others. So a total of at most half of the budget needs no second look. Above that the turn
-/// reads the reservations again: whichever turn was the last to reserve then sees all others.
+/// Every turn first reserves its maximum cost on a majority of members, and is then checked against
+/// the union of the reservations that complete members know. Any two majorities share a member, so
+/// of two turns that reserve concurrently at least one sees the other, and among several turns one
+/// sees at least half of the others. A total of at most half of the budget therefore needs no
+/// second check. Above that, the turn reads the reservations again: the turn that reserved last
+/// then sees all others.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +19,29 @@
 
 enum class budget_verdict {
     fits,
-    /// Close to the bound: read the reservations again, then judge by `judge_again`.
-    look_again,
+    /// The total is too close to the budget: read the reservations again and call `check_reread`.
+    needs_reread,
     exceeded,
 };
 
-/// Joins what members know: a settled entry goes before one that is not.
+/// Union of the reservations known to several members. A settled entry replaces an unsettled one.
 class reservation_union {
   public:
     void add(const std::vector<reservation>& reservations);
-    /// Tokens of all turns but `except`.
+    /// Returns the sum of tokens over all turns except `except`.
     std::uint64_t total_without(const turn_id& except) const;
-    /// The back end that ran the turn, or, where that isn't known, most of the turns; 0: none is.
+    /// Returns the back end that executed the turn or, if that is unknown, the one that executed
+    /// most of the program's turns; 0 if none is known.
     dispatch::backend_key backend_of(const turn_id& turn) const;
 
   private:
     std::map<turn_id, reservation> entries_;
 };
 
-budget_verdict judge_first(const reservation_union& known, const reservation& wanted,
-                           std::uint64_t budget);
-/// After the second look; never `look_again`.
-budget_verdict judge_again(const reservation_union& known, const reservation& wanted,
-                           std::uint64_t budget);
+budget_verdict check_reserved(const reservation_union& known, const reservation& wanted,
+                              std::uint64_t budget);
+/// Checks the budget after the reservations were read again; never returns `needs_reread`.
+budget_verdict check_reread(const reservation_union& known, const reservation& wanted,
+                            std::uint64_t budget);
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/call_relay.h
+++ b/src/pearbarrow/turns/call_relay.h
@@ -1,4 +1,4 @@
-/// Passes calls of other nodes on to storage members.
+/// Forwards calls from other nodes to storage members.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace pearbarrow::turns {
 
-/// "Call this member for me."
+/// Request to forward a call to a storage member.
 struct relay_request {
     base::node_id member;
     net::method_number method = 0;
@@ -23,32 +23,34 @@
     MSGPACK_DEFINE(member, method, payload);
 };
 
-/// Reasons of refusals: the relaying node can't reach most of the member's group itself; it can,
-/// but this member has not answered.
+/// Error reasons. `relay_cut`: the relaying node itself does not reach a majority of the member's
+/// group. `member_silent`: it does, but this member did not reply.
 inline constexpr char relay_cut_reason[] = "relay_cut";
 inline constexpr char member_silent_reason[] = "member_silent";
 
-/// Whether a call ended since the other side can't be reached or is late. One that refuses has
-/// answered.
-bool is_silence(const absl::Status& status);
+/// Returns whether a call failed because the other side is unreachable or did not reply in time. An
+/// explicit rejection is a reply.
+bool is_unresponsive(const absl::Status& status);
 
-/// The relaying side. Calls only members of the view that it knows itself, and never by relay.
+/// The relaying side. It forwards calls only to members of its own view, and always directly, never
+/// through another relay.
 class call_relay {
   public:
-    /// Tells whether this node reaches fewer than a majority of a group's members.
-    using cut_check = std::function<bool(std::uint32_t group)>;
+    /// Returns whether this node reaches less than a majority of a group's members.
+    using majority_loss_check = std::function<bool(std::uint32_t group)>;
 
-    call_relay(net::peer_rpc& rpc, cut_check is_cut);
+    call_relay(net::peer_rpc& rpc, majority_loss_check lacks_majority);
     call_relay(const call_relay&) = delete;
     call_relay& operator=(const call_relay&) = delete;
 
     void set_view(const directory::storage_view& view) { this->view = view; }
 
   private:
-    void take(const relay_request& request, const std::shared_ptr<net::peer_responder>& answer);
+    void handle(const relay_request& request,
+                const std::shared_ptr<net::peer_responder>& responder);
 
     net::peer_rpc& rpc;
-    cut_check is_cut;
+    majority_loss_check lacks_majority;
     directory::storage_view view;
     std::map<std::uint64_t, std::unique_ptr<net::peer_call_handle>> calls;
     std::uint64_t last_call = 0;
--- a/src/pearbarrow/turns/followed_preparation.cc
+++ b/src/pearbarrow/turns/followed_preparation.cc
@@ -16,25 +16,26 @@
       views(views),
       request(std::move(request)),
       done(std::move(done)),
-      ends_at(clock.now() + options.reserve_timeout) {}
+      deadline(clock.now() + options.reserve_timeout) {}
 
 void followed_preparation::start() {
     const auto left =
-        std::chrono::duration_cast<base::milliseconds>(this->ends_at - this->clock.now());
+        std::chrono::duration_cast<base::milliseconds>(this->deadline - this->clock.now());
     this->options.reserve_timeout = std::max(left, base::milliseconds{0});
     this->attempt = std::make_unique<turn_preparation>(
         this->loop, this->caller, this->options, this->views, this->request,
         turn_preparation::callbacks{
             .done = [this](prepared_turn prepared) { this->done(std::move(prepared)); },
-            .outdated = [this](bool is_told) { this->take_outdated(is_told); }});
+            .outdated = [this](bool names_voters) { this->on_outdated(names_voters); }});
     this->attempt->start();
 }
 
-/// Later, since this runs inside the attempt; and after a while where the member could not say who
-/// the voters are, which the directory then tells.
-void followed_preparation::take_outdated(bool is_told) {
-    const base::milliseconds pause = is_told ? base::milliseconds{0} : this->options.retry_interval;
-    this->next = this->loop.after(pause, [this] { this->start(); });
+/// The restart is deferred because this runs inside a callback of the attempt. If the member could
+/// not name the newer voters, the restart also waits until the directory may have delivered them.
+void followed_preparation::on_outdated(bool names_voters) {
+    const base::milliseconds delay =
+        names_voters ? base::milliseconds{0} : this->options.retry_interval;
+    this->restart = this->loop.after(delay, [this] { this->start(); });
 }
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/followed_preparation.h
+++ b/src/pearbarrow/turns/followed_preparation.h
@@ -1,4 +1,4 @@
-/// A preparation that begins anew where it has counted on voters that are replaced by now.
+/// Restarts the preparation of a turn when the voters that it was sent to have been replaced.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace pearbarrow::turns {
 
-/// The members asked before have the reservation already, and take it again without a change. All
-/// attempts together have the time of one preparation.
+/// A repeated reservation has no effect at members that already have it. All attempts together are
+/// bounded by the timeout of one preparation.
 class followed_preparation final : public turn_operation {
   public:
     followed_preparation(net::event_loop& loop, const base::clock& clock, member_caller& caller,
@@ -20,7 +20,7 @@
     void start();
 
   private:
-    void take_outdated(bool is_told);
+    void on_outdated(bool names_voters);
 
     net::event_loop& loop;
     const base::clock& clock;
@@ -29,9 +29,9 @@
     group_views& views;
     turn_request request;
     std::function<void(prepared_turn)> done;
-    base::instant ends_at;
+    base::instant deadline;
     std::unique_ptr<turn_preparation> attempt;
-    std::unique_ptr<net::timer_handle> next;
+    std::unique_ptr<net::timer_handle> restart;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/group_views.cc
+++ b/src/pearbarrow/turns/group_views.cc
@@ -9,27 +9,27 @@
 
 void group_views::set_view(const directory::storage_view& next) {
     this->view = next;
-    std::erase_if(this->told,
+    std::erase_if(this->reported,
                   [&](const auto& entry) { return entry.second.revision <= this->view.revision; });
 }
 
-bool group_views::note_newer(std::uint32_t group, const directory::storage_view& told) {
-    if (told.revision <= this->of(group).revision) {
+bool group_views::record_newer(std::uint32_t group, const directory::storage_view& reported) {
+    if (reported.revision <= this->of(group).revision) {
         return true;
     }
     const bool is_of_group =
-        !told.members.empty() &&
-        std::all_of(told.members.begin(), told.members.end(),
+        !reported.members.empty() &&
+        std::all_of(reported.members.begin(), reported.members.end(),
                     [group](const auto& member) { return member.group == group; });
     if (!is_of_group) {
         return false;
     }
     base::log(base::log_level::info, "storage_view_told",
               {{"group", group},
-               {"view", told.revision},
+               {"view", reported.revision},
                {"known_view", this->of(group).revision},
-               {"members", told.members.size()}});
-    this->told[group] = told;
+               {"members", reported.members.size()}});
+    this->reported[group] = reported;
     return true;
 }
 
@@ -38,8 +38,8 @@
 }
 
 directory::storage_view group_views::of(std::uint32_t group) const {
-    const auto found = this->told.find(group);
-    return found == this->told.end() ? members_of(this->view, group) : found->second;
+    const auto found = this->reported.find(group);
+    return found == this->reported.end() ? members_of(this->view, group) : found->second;
 }
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/group_views.h
+++ b/src/pearbarrow/turns/group_views.h
@@ -1,8 +1,8 @@
-/// The voters of each replica group, as one forwarding node knows them.
+/// The voters of each replica group, as known to one forwarding node.
 ///
-/// Pure. Mostly they are parts of the view that the directory tells; a storage member that refuses
-/// a request for counting on older ones tells its own group's, which then holds until the directory
-/// has caught up.
+/// Performs no I/O. The views normally are parts of the directory's storage view. A storage member
+/// that rejects a request because it is based on older voters returns its own group's view, which
+/// is used until the directory has caught up.
 #pragma once
 
 #include <cstdint>
@@ -16,20 +16,20 @@
 class group_views {
   public:
     void set_view(const directory::storage_view& next);
-    /// A member's word on its group, which may name no members, or be about another group. True:
-    /// voters as new as that are known now.
-    bool note_newer(std::uint32_t group, const directory::storage_view& told);
+    /// Records a group's view as returned by a member. The view may be empty or belong to another
+    /// group, and is ignored then. Returns whether voters at least as new are known now.
+    bool record_newer(std::uint32_t group, const directory::storage_view& reported);
 
-    /// As the directory tells it.
+    /// Returns the view as published by the directory.
     const directory::storage_view& whole() const { return this->view; }
     std::uint32_t groups() const { return this->view.groups; }
     std::uint32_t group_of(const base::program_id& program) const;
-    /// The group's members, under the revision at which they are known.
+    /// Returns the newest known view of the group.
     directory::storage_view of(std::uint32_t group) const;
 
   private:
     directory::storage_view view;
-    std::map<std::uint32_t, directory::storage_view> told;
+    std::map<std::uint32_t, directory::storage_view> reported;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/loss_check.cc
+++ b/src/pearbarrow/turns/loss_check.cc
@@ -15,7 +15,7 @@
                       [](const auto& member) { return !member.retiring; }));
 }
 
-std::size_t most_lost_with_zones(const directory::storage_view& view, std::size_t zones) {
+std::size_t max_lost_with_zones(const directory::storage_view& view, std::size_t zones) {
     std::map<std::string, std::size_t> by_zone;
     for (const directory::storage_member& member : view.members) {
         if (!member.retiring) {
@@ -39,10 +39,10 @@
     return lost < voters && voters - lost >= voters / 2 + 1;
 }
 
-bool bears_zones(const directory::storage_view& view, std::size_t zones) {
+bool survives_zone_loss(const directory::storage_view& view, std::size_t zones) {
     for (std::uint32_t group = 0; group < view.groups; ++group) {
         const directory::storage_view part = members_of(view, group);
-        if (!leaves_majority(voter_count(part), most_lost_with_zones(part, zones))) {
+        if (!leaves_majority(voter_count(part), max_lost_with_zones(part, zones))) {
             return false;
         }
     }
@@ -61,7 +61,7 @@
         if (!leaves_majority(voters, tolerance.disks)) {
             found.by_disks.push_back(group);
         }
-        if (!leaves_majority(voters, most_lost_with_zones(part, tolerance.zones))) {
+        if (!leaves_majority(voters, max_lost_with_zones(part, tolerance.zones))) {
             found.by_zones.push_back(group);
         }
     }
--- a/src/pearbarrow/turns/loss_check.h
+++ b/src/pearbarrow/turns/loss_check.h
@@ -1,6 +1,6 @@
-/// Whether what may be lost at once leaves a majority of each replica group.
+/// Checks whether every replica group keeps a majority when the tolerated disks or zones are lost.
 ///
-/// Pure functions of a storage view: every node that knows the view comes to the same.
+/// Pure functions of a storage view: every node that knows the view computes the same result.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +11,26 @@
 
 namespace pearbarrow::turns {
 
-/// What an operator wants to be borne, each for itself.
+/// Losses that the operator wants the storage to survive; each limit applies on its own.
 struct loss_tolerance {
-    /// Disks of storage members, anywhere.
+    /// Number of storage disks that may be lost, in any zones.
     std::size_t disks = 1;
-    /// Whole zones; 0: none.
+    /// Number of whole zones that may be lost; 0 for none.
     std::size_t zones = 0;
 };
 
-/// Members that stay, of one group or of all.
+/// Returns the number of members that are not retiring, in the view of one group or of all.
 std::size_t voter_count(const directory::storage_view& view);
-/// Members that stay and are lost with the `zones` zones that hold the most of them.
-std::size_t most_lost_with_zones(const directory::storage_view& view, std::size_t zones);
-/// Whether `lost` of `voters` members leave a majority of all.
+/// Returns how many non-retiring members are lost with the `zones` zones that contain the most of
+/// them.
+std::size_t max_lost_with_zones(const directory::storage_view& view, std::size_t zones);
+/// Returns whether a majority of `voters` members remains when `lost` of them are lost.
 bool leaves_majority(std::size_t voters, std::size_t lost);
 
-/// Whether every group keeps a majority through the loss of any `zones` zones.
-bool bears_zones(const directory::storage_view& view, std::size_t zones);
+/// Returns whether every group keeps its majority when any `zones` zones are lost.
+bool survives_zone_loss(const directory::storage_view& view, std::size_t zones);
 
-/// Groups that a tolerated loss takes the majority of.
+/// Groups that could lose their majority to a tolerated loss.
 struct groups_at_risk {
     std::vector<std::uint32_t> by_disks;
     std::vector<std::uint32_t> by_zones;
--- a/src/pearbarrow/turns/majority_write.cc
+++ b/src/pearbarrow/turns/majority_write.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint32_t most_doublings = 4;
+constexpr std::uint32_t max_timeout_doublings = 4;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
 }
 
 void majority_write::start() {
-    limit_ = loop_.after(timeout_, [this] {
+    timeout_timer_ = loop_.after(timeout_, [this] {
         report(base::make_error(absl::StatusCode::kUnavailable,
                                 "too few storage members confirmed the turn",
                                 {.step = "store_turn",
@@ -51,79 +51,81 @@
                                  .was_executed = base::executed::unknown}));
         end();
     });
-    take_voters();
+    update_voters();
 }
 
-void majority_write::take_voters() {
+void majority_write::update_voters() {
     const directory::storage_view group = views_.of(group_);
     request_.view = stamp_of(group);
     payload_ = wire::encode(request_);
     const std::vector<directory::storage_member> voters = voters_of(group);
-    for (member_write& part : parts_) {
-        part.is_replaced = std::none_of(voters.begin(), voters.end(), [&](const auto& voter) {
-            return voter.node == part.member.node;
+    for (member_write& write : members_) {
+        write.is_replaced = std::none_of(voters.begin(), voters.end(), [&](const auto& voter) {
+            return voter.node == write.member.node;
         });
-        if (part.is_replaced) {
-            part.retry.reset();
+        if (write.is_replaced) {
+            write.retry.reset();
         }
     }
     for (const directory::storage_member& voter : voters) {
         const bool is_known =
-            std::any_of(parts_.begin(), parts_.end(),
-                        [&](const member_write& part) { return part.member.node == voter.node; });
+            std::any_of(members_.begin(), members_.end(),
+                        [&](const member_write& write) { return write.member.node == voter.node; });
         if (!is_known) {
-            parts_.emplace_back().member = voter;
-            send(parts_.back());
+            members_.emplace_back().member = voter;
+            send(members_.back());
         }
     }
-    judge();
+    check_confirmations();
 }
 
-void majority_write::send(member_write& part) {
-    part.retry.reset();
-    const auto time = options_.call_timeout * (1U << std::min(part.unanswered, most_doublings));
-    part.call = caller_.call(
-        part.member, wire::turn_finish, payload_, time,
-        [this, &part](const absl::StatusOr<std::string>& reply) { take_reply(part, reply); });
+void majority_write::send(member_write& write) {
+    write.retry.reset();
+    const auto time =
+        options_.call_timeout * (1U << std::min(write.timeouts, max_timeout_doublings));
+    write.call = caller_.call(
+        write.member, wire::turn_finish, payload_, time,
+        [this, &write](const absl::StatusOr<std::string>& reply) { on_reply(write, reply); });
 }
 
-void majority_write::take_reply(member_write& part, const absl::StatusOr<std::string>& reply) {
+void majority_write::on_reply(member_write& write, const absl::StatusOr<std::string>& reply) {
     const auto answer = reply.ok() ? wire::decode<finish_reply>(*reply)
                                    : absl::StatusOr<finish_reply>(reply.status());
     if (answer.ok() && answer->newer.has_value()) {
-        take_newer(part, *answer->newer);
+        on_newer_view(write, *answer->newer);
         return;
     }
     if (!answer.ok()) {
-        part.unanswered += answer.status().code() == absl::StatusCode::kDeadlineExceeded ? 1 : 0;
-        if (!part.is_replaced) {
-            part.retry = loop_.after(options_.retry_interval, [this, &part] { send(part); });
+        write.timeouts += answer.status().code() == absl::StatusCode::kDeadlineExceeded ? 1 : 0;
+        if (!write.is_replaced) {
+            write.retry = loop_.after(options_.retry_interval, [this, &write] { send(write); });
         }
         return;
     }
-    part.confirmed = true;
-    judge();
+    write.confirmed = true;
+    check_confirmations();
 }
 
-/// The member is asked again as one of the newer voters; where it can't say who they are, once the
-/// directory may have told.
-void majority_write::take_newer(member_write& part, const directory::storage_view& newer) {
-    const bool is_told = views_.note_newer(group_, newer);
-    part.retry =
-        loop_.after(is_told ? base::milliseconds{0} : options_.retry_interval, [this, &part] {
-            take_voters();
-            if (!part.is_replaced) {
-                send(part);
+/// Sends the write again under the newer view. If the member could not name the newer voters, the
+/// retry waits until the directory may have delivered them.
+void majority_write::on_newer_view(member_write& write, const directory::storage_view& newer) {
+    const bool names_voters = views_.record_newer(group_, newer);
+    write.retry =
+        loop_.after(names_voters ? base::milliseconds{0} : options_.retry_interval, [this, &write] {
+            update_voters();
+            if (!write.is_replaced) {
+                send(write);
             }
         });
 }
 
-void majority_write::judge() {
-    const auto voters = static_cast<std::size_t>(std::count_if(
-        parts_.begin(), parts_.end(), [](const member_write& part) { return !part.is_replaced; }));
+void majority_write::check_confirmations() {
+    const auto voters = static_cast<std::size_t>(
+        std::count_if(members_.begin(), members_.end(),
+                      [](const member_write& write) { return !write.is_replaced; }));
     const auto confirmed = static_cast<std::size_t>(std::count_if(
-        parts_.begin(), parts_.end(),
-        [](const member_write& part) { return part.confirmed && !part.is_replaced; }));
+        members_.begin(), members_.end(),
+        [](const member_write& write) { return write.confirmed && !write.is_replaced; }));
     if (confirmed > voters / 2) {
         report(absl::OkStatus());
     }
@@ -139,7 +141,7 @@
 }
 
 void majority_write::end() {
-    limit_.reset();
+    timeout_timer_.reset();
     if (const auto over = std::exchange(callbacks_.over, nullptr); over) {
         over();
     }
--- a/src/pearbarrow/turns/majority_write.h
+++ b/src/pearbarrow/turns/majority_write.h
@@ -1,5 +1,5 @@
-/// Writes something to every storage member of a replica group until most of them have confirmed
-/// it.
+/// Writes to every storage member of a replica group and reports success once a majority has
+/// confirmed.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,16 @@
 
 namespace pearbarrow::turns {
 
-/// Goes on after the majority, so that the other members need not fetch the turn later. Where a
-/// member knows newer voters the write goes on among these; whoever has stored it has it.
+/// The write continues after the majority has confirmed, so that the other members need not fetch
+/// the turn later. If a member knows newer voters, the write continues with those; confirmations of
+/// members that are still voters remain valid.
 class majority_write final {
   public:
     struct callbacks {
-        /// Runs once: a majority has confirmed, or the time is up.
+        /// Runs once, when a majority has confirmed or the timeout has expired.
         std::function<void(absl::Status)> done;
-        /// Runs once, last: every member has confirmed, or the time is up.
+        /// Runs once, as the last callback, when every member has confirmed or the timeout has
+        /// expired.
         std::function<void()> over;
     };
 
@@ -34,28 +36,28 @@
                    base::milliseconds timeout, callbacks callbacks);
 
     void start();
-    /// Nobody waits for `done` any longer; the write goes on.
+    /// Drops the `done` callback; the write continues.
     void detach() { callbacks_.done = nullptr; }
 
   private:
-    /// One member's part.
+    /// State of the write at one member.
     struct member_write {
         directory::storage_member member;
         std::unique_ptr<net::peer_call_handle> call;
         std::unique_ptr<net::timer_handle> retry;
         bool confirmed = false;
-        /// It was one when the write began, and is none any more.
+        /// The member was a voter when the write began, but is no longer.
         bool is_replaced = false;
-        /// Questions that were not answered in time.
-        std::uint32_t unanswered = 0;
+        /// Number of requests that timed out.
+        std::uint32_t timeouts = 0;
     };
 
-    /// Writes among the voters as they are known now.
-    void take_voters();
-    void send(member_write& part);
-    void take_reply(member_write& part, const absl::StatusOr<std::string>& reply);
-    void take_newer(member_write& part, const directory::storage_view& newer);
-    void judge();
+    /// Updates the members to the currently known voters and sends the write to new ones.
+    void update_voters();
+    void send(member_write& write);
+    void on_reply(member_write& write, const absl::StatusOr<std::string>& reply);
+    void on_newer_view(member_write& write, const directory::storage_view& newer);
+    void check_confirmations();
     void report(const absl::Status& status);
     void end();
 
@@ -68,8 +70,8 @@
     std::uint32_t group_;
     finish_request request_;
     std::string payload_;
-    std::list<member_write> parts_;
-    std::unique_ptr<net::timer_handle> limit_;
+    std::list<member_write> members_;
+    std::unique_ptr<net::timer_handle> timeout_timer_;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/member_caller.h
+++ b/src/pearbarrow/turns/member_caller.h
@@ -1,4 +1,4 @@
-/// Calls to storage members, by whichever way there is.
+/// Interface for calls to storage members, either direct or through a relay.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
     using reply_handler = std::function<void(const absl::StatusOr<std::string>&)>;
 
     virtual ~member_caller() = default;
-    /// `on_reply` runs once, unless the handle is destroyed before.
+    /// Runs `on_reply` exactly once, unless the returned handle is destroyed first.
     [[nodiscard]] virtual std::unique_ptr<net::peer_call_handle> call(
         const directory::storage_member& member, net::method_number method, std::string payload,
         base::milliseconds timeout, reply_handler on_reply) = 0;
--- a/src/pearbarrow/turns/relaying_caller.cc
+++ b/src/pearbarrow/turns/relaying_caller.cc
@@ -10,39 +10,41 @@
 namespace pearbarrow::turns {
 namespace {
 
-/// With less time left a relay can't answer: a round trip between zones takes some 3 ms, and its
-/// silence would count against it.
-constexpr base::milliseconds least_relay_time{10};
+/// Minimum remaining time for a relayed call. A round trip between zones takes about 3 ms; with too
+/// little time, the missing reply would be counted as a failure of the relay.
+constexpr base::milliseconds min_relay_time{10};
 
 }  // namespace
 
-/// One call, on one or both ways. The first success ends it; a failure does once no way is left.
-class relaying_caller::one_call final : public net::peer_call_handle {
+/// One call, sent directly, through a relay, or both. The first success ends it; it fails when no
+/// attempt is left.
+class relaying_caller::relayable_call final : public net::peer_call_handle {
   public:
-    one_call(relaying_caller& owner, directory::storage_member member, net::method_number method,
-             std::string payload, base::milliseconds timeout, reply_handler on_reply)
+    relayable_call(relaying_caller& owner, directory::storage_member member,
+                   net::method_number method, std::string payload, base::milliseconds timeout,
+                   reply_handler on_reply)
         : owner(owner),
           member(std::move(member)),
           method(method),
           payload(std::move(payload)),
-          asked_at(owner.clock.now()),
-          ends_at(this->asked_at + timeout),
+          sent_at(owner.clock.now()),
+          deadline(this->sent_at + timeout),
           on_reply(std::move(on_reply)) {}
-    one_call(const one_call&) = delete;
-    one_call& operator=(const one_call&) = delete;
-    ~one_call() override { one_call::cancel(); }
+    relayable_call(const relayable_call&) = delete;
+    relayable_call& operator=(const relayable_call&) = delete;
+    ~relayable_call() override { relayable_call::cancel(); }
 
     void start() {
-        this->owner.note_asked(this->member.node, this->asked_at);
+        this->owner.on_call_sent(this->member.node, this->sent_at);
         this->direct = this->owner.rpc.call(
             this->member.node, this->member.address, this->method, this->payload, this->time_left(),
             {.on_part = nullptr, .on_done = [this](const absl::StatusOr<std::string>& reply) {
-                 this->take_direct(reply);
+                 this->on_direct_reply(reply);
              }});
         if (this->owner.is_cut(this->member.group)) {
             this->relay();
         } else {
-            this->patience = this->owner.loop.after(this->owner.options.patience, [this] {
+            this->relay_timer = this->owner.loop.after(this->owner.options.silence_timeout, [this] {
                 if (this->owner.is_cut(this->member.group)) {
                     this->relay();
                 }
@@ -52,73 +54,74 @@
 
     void cancel() override {
         if (this->on_reply != nullptr) {
-            this->owner.note_unasked(this->member.node, this->asked_at);
+            this->owner.on_call_cancelled(this->member.node, this->sent_at);
         }
         this->on_reply = nullptr;
         this->direct.reset();
         this->relayed.reset();
-        this->patience.reset();
+        this->relay_timer.reset();
     }
 
   private:
     base::milliseconds time_left() const {
-        const auto left =
-            std::chrono::duration_cast<base::milliseconds>(this->ends_at - this->owner.clock.now());
+        const auto left = std::chrono::duration_cast<base::milliseconds>(this->deadline -
+                                                                         this->owner.clock.now());
         return std::max(left, base::milliseconds{1});
     }
 
-    void take_direct(const absl::StatusOr<std::string>& reply) {
+    void on_direct_reply(const absl::StatusOr<std::string>& reply) {
         this->direct_failed = !reply.ok();
-        if (reply.ok() || !is_silence(reply.status())) {
-            this->owner.note_answered(this->member.node);
+        if (reply.ok() || !is_unresponsive(reply.status())) {
+            this->owner.on_reply_received(this->member.node);
             this->end(reply);
             return;
         }
         if (this->owner.is_cut(this->member.group)) {
             this->relay();
         }
-        if (!this->relay_runs) {
+        if (!this->relay_in_flight) {
             this->end(reply);
         }
     }
 
     void relay() {
-        if (this->relay_runs || this->on_reply == nullptr || this->time_left() < least_relay_time) {
+        if (this->relay_in_flight || this->on_reply == nullptr ||
+            this->time_left() < min_relay_time) {
             return;
         }
         const net::endpoint peer = this->owner.relay_peer();
         if (peer.port == 0) {
             return;
         }
-        this->relay_runs = true;
+        this->relay_in_flight = true;
         ++this->owner.relayed;
         const relay_request request{this->member.node, this->method, this->payload};
         this->relayed = this->owner.rpc.call(
             base::node_id(), peer, wire::turn_relay, wire::encode(request),
-            std::min(this->time_left(), this->owner.options.patience),
+            std::min(this->time_left(), this->owner.options.silence_timeout),
             {.on_part = nullptr, .on_done = [this, peer](const absl::StatusOr<std::string>& reply) {
-                 this->take_relayed(peer, reply);
+                 this->on_relayed_reply(peer, reply);
              }});
     }
 
-    void take_relayed(const net::endpoint& peer, const absl::StatusOr<std::string>& reply) {
-        this->relay_runs = false;
-        const bool is_peers_fault = this->owner.note_relay(peer, reply);
+    void on_relayed_reply(const net::endpoint& peer, const absl::StatusOr<std::string>& reply) {
+        this->relay_in_flight = false;
+        const bool is_relay_failure = this->owner.on_relay_result(peer, reply);
         if (reply.ok()) {
             this->end(reply);
             return;
         }
-        if (is_peers_fault) {
+        if (is_relay_failure) {
             this->relay();
         }
-        if (this->relay_runs) {
+        if (this->relay_in_flight) {
             return;
         }
         if (this->direct_failed) {
             this->end(reply);
             return;
         }
-        this->patience = this->owner.loop.after(this->owner.options.rest, [this] {
+        this->relay_timer = this->owner.loop.after(this->owner.options.relay_backoff, [this] {
             if (this->owner.is_cut(this->member.group)) {
                 this->relay();
             }
@@ -127,7 +130,7 @@
 
     void end(const absl::StatusOr<std::string>& reply) {
         if (const auto handler = std::exchange(this->on_reply, nullptr); handler) {
-            this->patience.reset();
+            this->relay_timer.reset();
             handler(reply);
         }
     }
@@ -136,14 +139,14 @@
     directory::storage_member member;
     net::method_number method;
     std::string payload;
-    base::instant asked_at;
-    base::instant ends_at;
+    base::instant sent_at;
+    base::instant deadline;
     reply_handler on_reply;
     std::unique_ptr<net::peer_call_handle> direct;
     std::unique_ptr<net::peer_call_handle> relayed;
-    std::unique_ptr<net::timer_handle> patience;
+    std::unique_ptr<net::timer_handle> relay_timer;
     bool direct_failed = false;
-    bool relay_runs = false;
+    bool relay_in_flight = false;
 };
 
 relaying_caller::relaying_caller(net::event_loop& loop, net::peer_rpc& rpc,
@@ -161,9 +164,9 @@
         }
         const auto known = this->voters.find(member.node);
         next[member.node] = {.group = member.group,
-                             .silent_since = known == this->voters.end()
-                                                 ? std::nullopt
-                                                 : known->second.silent_since};
+                             .unanswered_since = known == this->voters.end()
+                                                     ? std::nullopt
+                                                     : known->second.unanswered_since};
     }
     this->voters = std::move(next);
     this->groups = view.groups;
@@ -172,28 +175,29 @@
 std::unique_ptr<net::peer_call_handle> relaying_caller::call(
     const directory::storage_member& member, net::method_number method, std::string payload,
     base::milliseconds timeout, reply_handler on_reply) {
-    auto started = std::make_unique<one_call>(*this, member, method, std::move(payload), timeout,
-                                              std::move(on_reply));
+    auto started = std::make_unique<relayable_call>(*this, member, method, std::move(payload),
+                                                    timeout, std::move(on_reply));
     started->start();
     return started;
 }
 
-bool relaying_caller::answers(const voter& one, base::instant now) const {
-    return !one.silent_since.has_value() || now - *one.silent_since < this->options.patience;
+bool relaying_caller::is_responsive(const voter& state, base::instant now) const {
+    return !state.unanswered_since.has_value() ||
+           now - *state.unanswered_since < this->options.silence_timeout;
 }
 
 bool relaying_caller::is_cut(std::uint32_t group) const {
     const base::instant now = this->clock.now();
     std::size_t members = 0;
-    std::size_t answering = 0;
-    for (const auto& [node, one] : this->voters) {
-        if (one.group != group) {
+    std::size_t responsive = 0;
+    for (const auto& [node, state] : this->voters) {
+        if (state.group != group) {
             continue;
         }
         ++members;
-        answering += this->answers(one, now) ? 1 : 0;
+        responsive += this->is_responsive(state, now) ? 1 : 0;
     }
-    return members > 0 && answering < members / 2 + 1;
+    return members > 0 && responsive < members / 2 + 1;
 }
 
 bool relaying_caller::is_cut() const {
@@ -205,71 +209,73 @@
     return false;
 }
 
-void relaying_caller::note_asked(const base::node_id& node, base::instant at) {
+void relaying_caller::on_call_sent(const base::node_id& node, base::instant at) {
     const auto found = this->voters.find(node);
-    if (found != this->voters.end() && !found->second.silent_since.has_value()) {
-        found->second.silent_since = at;
+    if (found != this->voters.end() && !found->second.unanswered_since.has_value()) {
+        found->second.unanswered_since = at;
     }
 }
 
-// Whoever asked waits no longer, mostly because other members were faster: no sign of silence yet.
-void relaying_caller::note_unasked(const base::node_id& node, base::instant at) {
+// A cancelled call does not indicate a silent member: callers usually cancel because other members
+// were faster.
+void relaying_caller::on_call_cancelled(const base::node_id& node, base::instant at) {
     const auto found = this->voters.find(node);
-    if (found != this->voters.end() && found->second.silent_since == at &&
-        this->clock.now() - at < this->options.patience) {
-        found->second.silent_since.reset();
+    if (found != this->voters.end() && found->second.unanswered_since == at &&
+        this->clock.now() - at < this->options.silence_timeout) {
+        found->second.unanswered_since.reset();
     }
 }
 
-void relaying_caller::note_answered(const base::node_id& node) {
+void relaying_caller::on_reply_received(const base::node_id& node) {
     const auto found = this->voters.find(node);
     if (found == this->voters.end()) {
         return;
     }
     const std::uint32_t group = found->second.group;
     const bool was_cut = this->is_cut(group);
-    found->second.silent_since.reset();
+    found->second.unanswered_since.reset();
     if (was_cut && !this->is_cut(group)) {
         base::log(base::log_level::info, "storage_reached_again",
                   {{"group", group}, {"relayed_calls", this->relayed}});
     }
 }
 
-bool relaying_caller::note_relay(const net::endpoint& peer,
-                                 const absl::StatusOr<std::string>& reply) {
+bool relaying_caller::on_relay_result(const net::endpoint& peer,
+                                      const absl::StatusOr<std::string>& reply) {
     const base::instant now = this->clock.now();
     if (reply.ok()) {
-        if (this->good_peer != peer) {
+        if (this->working_relay != peer) {
             base::log(base::log_level::warning, "storage_reached_by_relay",
                       {{"peer", net::to_string(peer)}});
         }
-        this->good_peer = peer;
-        this->good_at = now;
+        this->working_relay = peer;
+        this->relay_succeeded_at = now;
         this->failed_relays = 0;
         return false;
     }
-    // One member may be down: the peer is good as long as it reaches another.
-    const bool is_members_fault = base::details_of(reply.status()).reason == member_silent_reason &&
-                                  this->good_peer == peer &&
-                                  now - this->good_at < this->options.trust;
-    if (is_members_fault) {
+    // A single member may be down: the peer is kept while it reaches other members.
+    const bool is_member_failure =
+        base::details_of(reply.status()).reason == member_silent_reason &&
+        this->working_relay == peer &&
+        now - this->relay_succeeded_at < this->options.relay_trust_time;
+    if (is_member_failure) {
         return false;
     }
-    if (this->good_peer == peer) {
-        this->good_peer = {};
+    if (this->working_relay == peer) {
+        this->working_relay = {};
     }
-    if (++this->failed_relays >= this->options.tried_relays) {
+    if (++this->failed_relays >= this->options.max_failed_relays) {
         this->failed_relays = 0;
-        this->rests_until = now + this->options.rest;
+        this->relay_backoff_until = now + this->options.relay_backoff;
     }
     return true;
 }
 
 net::endpoint relaying_caller::relay_peer() {
-    if (this->good_peer.port != 0) {
-        return this->good_peer;
+    if (this->working_relay.port != 0) {
+        return this->working_relay;
     }
-    if (this->clock.now() < this->rests_until) {
+    if (this->clock.now() < this->relay_backoff_until) {
         return {};
     }
     return this->choose_peer();
--- a/src/pearbarrow/turns/replica_groups.cc
+++ b/src/pearbarrow/turns/replica_groups.cc
@@ -12,39 +12,39 @@
 namespace pearbarrow::turns {
 namespace {
 
-/// Not the seed of other hashes of a program, by which engines are chosen: the programs of a group
-/// shall not all prefer the same engines.
+/// This seed differs from the one used to choose engines for a program; otherwise all programs of a
+/// group would prefer the same engines.
 constexpr std::uint64_t program_seed = 0x7475'726e'6772'6f75;
 
-/// What a group has beyond the 2t + 1 members whose majorities keep every turn through the loss of
-/// t disks: with t of them lost, one more may restart and the rest are still a majority.
+/// Members of a group beyond the 2t + 1 whose majorities preserve every turn through the loss of t
+/// disks. With t disks lost, one more member may restart while the rest still form a majority.
 constexpr std::size_t spare_members = 2;
 
-/// First one member of each zone, then a second of each, and so on: any run of them spreads over
-/// as many zones as there are.
-std::vector<directory::storage_member> by_turns_of_zones(
+/// Interleaves the zones: first one member of each zone, then a second one of each, and so on. Any
+/// contiguous range is spread over as many zones as possible.
+std::vector<directory::storage_member> interleave_zones(
     std::vector<directory::storage_member> members) {
     std::sort(members.begin(), members.end(),
               [](const auto& left, const auto& right) { return left.node < right.node; });
     std::map<std::string, std::size_t> seen;
-    std::vector<std::pair<std::size_t, directory::storage_member>> placed;
+    std::vector<std::pair<std::size_t, directory::storage_member>> ranked;
     for (directory::storage_member& member : members) {
-        const std::size_t place = seen[member.zone]++;
-        placed.emplace_back(place, std::move(member));
+        const std::size_t rank = seen[member.zone]++;
+        ranked.emplace_back(rank, std::move(member));
     }
-    std::stable_sort(placed.begin(), placed.end(), [](const auto& left, const auto& right) {
+    std::stable_sort(ranked.begin(), ranked.end(), [](const auto& left, const auto& right) {
         return std::tie(left.first, left.second.zone) < std::tie(right.first, right.second.zone);
     });
     members.clear();
-    for (auto& entry : placed) {
+    for (auto& entry : ranked) {
         members.push_back(std::move(entry.second));
     }
     return members;
 }
 
-/// The members in this order, cut into groups.
-directory::storage_view in_runs(std::vector<directory::storage_member> ordered,
-                                std::size_t groups) {
+/// Splits the ordered members into contiguous groups.
+directory::storage_view split_contiguously(std::vector<directory::storage_member> ordered,
+                                           std::size_t groups) {
     directory::storage_view view{
         .revision = 0, .members = std::move(ordered), .groups = static_cast<std::uint32_t>(groups)};
     for (std::size_t index = 0; index < view.members.size(); ++index) {
@@ -54,10 +54,10 @@
     return view;
 }
 
-/// Each zone's members dealt out to the groups in turn: no group has over one more of a zone than
-/// another, also where zones differ in size.
-directory::storage_view dealt_by_zone(std::vector<directory::storage_member> members,
-                                      std::size_t groups) {
+/// Distributes each zone's members round-robin over the groups. Two groups differ by at most one
+/// member per zone, even if zones differ in size.
+directory::storage_view distribute_by_zone(std::vector<directory::storage_member> members,
+                                           std::size_t groups) {
     std::sort(members.begin(), members.end(), [](const auto& left, const auto& right) {
         return std::tie(left.zone, left.node) < std::tie(right.zone, right.node);
     });
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-std::size_t group_options::least_size() const {
+std::size_t group_options::min_size() const {
     return 2 * this->tolerated_losses + 1 + spare_members;
 }
 
@@ -92,29 +92,31 @@
 
 directory::storage_view form_groups(std::vector<directory::storage_member> candidates,
                                     const group_options& options) {
-    const std::size_t most = std::max<std::size_t>(1, candidates.size() / options.least_size());
-    const auto ordered = by_turns_of_zones(std::move(candidates));
-    directory::storage_view first = in_runs(ordered, most);
+    const std::size_t max_groups = std::max<std::size_t>(1, candidates.size() / options.min_size());
+    const auto ordered = interleave_zones(std::move(candidates));
+    directory::storage_view first = split_contiguously(ordered, max_groups);
     if (options.tolerated_zones == 0) {
         return first;
     }
-    // One group bears the loss of zones wherever any number of groups does: of a group of s members
-    // (s - 1) / 2 may be lost, and the sum of that over groups is never more than over one of all.
-    for (std::size_t groups = most; groups > 0; --groups) {
-        directory::storage_view runs = in_runs(ordered, groups);
-        if (bears_zones(runs, options.tolerated_zones)) {
-            return runs;
+    // If any number of groups survives the loss of zones, a single group does too: a group of s
+    // members may lose (s - 1) / 2 of them, and the sum of this over several groups never exceeds
+    // the value for one group of all members.
+    for (std::size_t groups = max_groups; groups > 0; --groups) {
+        directory::storage_view contiguous = split_contiguously(ordered, groups);
+        if (survives_zone_loss(contiguous, options.tolerated_zones)) {
+            return contiguous;
         }
-        directory::storage_view dealt = dealt_by_zone(ordered, groups);
-        if (bears_zones(dealt, options.tolerated_zones)) {
-            return dealt;
+        directory::storage_view distributed = distribute_by_zone(ordered, groups);
+        if (survives_zone_loss(distributed, options.tolerated_zones)) {
+            return distributed;
         }
     }
     return first;
 }
 
-// A member that comes back prefers its former group, where it copies only what it missed; in
-// another it begins with nothing. Otherwise the smallest group is the one that has lost most.
+// A returning member prefers its former group, where it copies only the changes that it missed; in
+// another group it starts empty. Otherwise the smallest group is chosen, since it has lost the most
+// members.
 std::uint32_t group_for_newcomer(const directory::storage_view& view,
                                  const directory::storage_member& newcomer,
                                  std::optional<std::uint32_t> former) {
@@ -146,19 +148,19 @@
                                             std::optional<std::uint32_t> former,
                                             const group_options& options) {
     const std::uint32_t preferred = group_for_newcomer(view, newcomer, former);
-    const auto may_take = [&](std::uint32_t group) {
+    const auto can_enter = [&](std::uint32_t group) {
         directory::storage_view part = members_of(view, group);
-        const bool bears =
-            leaves_majority(voter_count(part), most_lost_with_zones(part, options.tolerated_zones));
+        const bool is_tolerant =
+            leaves_majority(voter_count(part), max_lost_with_zones(part, options.tolerated_zones));
         part.members.push_back(newcomer);
-        return !bears || leaves_majority(voter_count(part),
-                                         most_lost_with_zones(part, options.tolerated_zones));
+        return !is_tolerant || leaves_majority(voter_count(part),
+                                               max_lost_with_zones(part, options.tolerated_zones));
     };
-    if (options.tolerated_zones == 0 || may_take(preferred)) {
+    if (options.tolerated_zones == 0 || can_enter(preferred)) {
         return preferred;
     }
     for (std::uint32_t group = 0; group < view.groups; ++group) {
-        if (may_take(group)) {
+        if (can_enter(group)) {
             return group;
         }
     }
--- a/src/pearbarrow/turns/replica_groups.h
+++ b/src/pearbarrow/turns/replica_groups.h
@@ -1,9 +1,9 @@
-/// Divides the storage members into replica groups, and the programs among the groups.
+/// Divides the storage members into replica groups and assigns programs to groups.
 ///
-/// A turn, its reservation and its settling cost only the members of one group, so members add
-/// capacity. Pure functions: every node that knows a view computes the same. A group is a small
-/// storage view of its own, and all rules of a view hold in it: one member changes at a time,
-/// majorities of two views that follow each other meet.
+/// A turn, its reservation and its settlement involve only the members of one group, so adding
+/// members adds capacity. Pure functions: every node that knows a view computes the same result.
+/// The view of a group is a small storage view and follows the same rules: one member changes at a
+/// time, and the majorities of two consecutive views intersect.
 #pragma once
 
 #include <cstddef>
@@ -17,35 +17,36 @@
 namespace pearbarrow::turns {
 
 struct group_options {
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at once.
     std::size_t tolerated_losses = 1;
-    /// Whole zones that may be lost at once.
+    /// Number of whole zones that may be lost at once.
     std::size_t tolerated_zones = 0;
 
-    /// Members of a group at its forming, at least, where the fleet has that many.
-    std::size_t least_size() const;
+    /// Returns the minimum number of members of a newly formed group, if the fleet has that many.
+    std::size_t min_size() const;
 };
 
-/// The group that keeps a program's turns and judges its budget.
+/// Returns the group that stores a program's turns and enforces its budget.
 std::uint32_t group_of(const directory::storage_view& view, const base::program_id& program);
 
-/// The view of one group: its members only, under the revision of the whole.
+/// Returns the view of one group: only its members, with the revision of the whole view.
 directory::storage_view members_of(const directory::storage_view& view, std::uint32_t group);
 
-/// The first view of a fleet, revision 0. Each group spreads over as many zones as it can; the
-/// sizes of two groups differ by one at most. Where any layout of all candidates bears the loss of
-/// the tolerated zones, this one does, if need be with fewer groups. Needs a candidate at least.
+/// Returns the first view of a fleet, with revision 0. Each group is spread over as many zones as
+/// possible, and group sizes differ by at most one. If any layout of the candidates survives the
+/// loss of the tolerated zones, the returned one does, with fewer groups if necessary. Requires at
+/// least one candidate.
 directory::storage_view form_groups(std::vector<directory::storage_member> candidates,
                                     const group_options& options);
 
-/// The group that a member enters which the view does not name. `former`: the group that its disk
-/// holds data of.
+/// Returns the group for a member that is not in the view. `former` is the group whose data its
+/// disk holds.
 std::uint32_t group_for_newcomer(const directory::storage_view& view,
                                  const directory::storage_member& newcomer,
                                  std::optional<std::uint32_t> former);
 
-/// The same, but none where each group that bears the loss of the tolerated zones would bear it no
-/// longer: the newcomer waits for one of another zone.
+/// Like `group_for_newcomer`, but returns nothing if the newcomer would break the zone tolerance of
+/// every group that has it now. The newcomer then waits for a member of another zone to join.
 std::optional<std::uint32_t> group_to_enter(const directory::storage_view& view,
                                             const directory::storage_member& newcomer,
                                             std::optional<std::uint32_t> former,
--- a/src/pearbarrow/turns/replica_voters.cc
+++ b/src/pearbarrow/turns/replica_voters.cc
@@ -1,16 +1,16 @@
-// What a storage member knows of its group's voters, and what follows from it.
+// Tracks the voters of a storage member's group and the consequences of voter changes.
 #include "pearbarrow/base/log.h"
 #include "pearbarrow/turns/turn_replica.h"
 
 namespace pearbarrow::turns {
 
-void turn_replica::note_voters(bool is_voter) {
+void turn_replica::update_group_voters(bool is_voter) {
     const view_stamp next = stamp_of(view_);
     if (next.revision > known_view_.revision) {
         known_view_ = next;
     }
     if (!is_voter) {
-        settlement_.forget();
+        settlement_.reset();
         voter_since_ = 0;
         if (std::exchange(complete_, false)) {
             base::log(base::log_level::info, "turn_replica_no_voter",
@@ -21,17 +21,17 @@
         voter_since_ = is_new ? view_.revision : voter_since_;
         settlement_.set_voters(view_, options_.self);
         if (is_new && !complete_) {
-            list_now();
+            list_all_now();
         }
     }
-    if (!has_kept_view()) {
-        keep_view();
+    if (!is_view_persisted()) {
+        persist_view();
     }
 }
 
-/// Written before it is told to anybody: a member that forgets by a restart what it has told would
-/// confirm again what others rely on its refusing.
-void turn_replica::keep_view() {
+/// The view is persisted before it is reported to other members. Otherwise a restarted member could
+/// again confirm writes that others rely on it to reject.
+void turn_replica::persist_view() {
     store_change change;
     change.view = known_view_;
     if (voter_since_ == 0) {
@@ -42,48 +42,49 @@
         if (!*alive || generation != generation_) {
             return;
         }
-        note_write(status);
+        record_write_result(status);
         if (!status.ok()) {
-            view_retry_ = loop_.after(options_.write_retry, [this] { keep_view(); });
+            view_retry_ = loop_.after(options_.write_retry, [this] { persist_view(); });
             return;
         }
-        kept_view_ = written;
+        persisted_view_ = written;
     });
 }
 
-view_stamp turn_replica::told_view() const {
-    return has_kept_view() ? known_view_ : kept_view_;
+view_stamp turn_replica::persisted_view() const {
+    return is_view_persisted() ? known_view_ : persisted_view_;
 }
 
-bool turn_replica::refuses(const view_stamp& asked) {
-    const bool is_refused = is_outdated(asked, known_view_);
-    outdated_requests_ += is_refused ? 1 : 0;
-    return is_refused;
+bool turn_replica::rejects(const view_stamp& sender) {
+    const bool is_rejected = is_outdated(sender, known_view_);
+    outdated_requests_ += is_rejected ? 1 : 0;
+    return is_rejected;
 }
 
 directory::storage_view turn_replica::newer_view() const {
     if (view_.revision == known_view_.revision) {
         return view_;
     }
-    // Known from before a restart, and who its voters are has not been heard again.
+    // The revision was restored from disk, but the voters of that view have not been received since
+    // the restart.
     return {.revision = known_view_.revision, .members = {}, .groups = view_.groups};
 }
 
 void turn_replica::advance_settlement() {
     settlement_.advance(complete_, index_.last_listed());
-    hurries_ = hurries_ && !settlement_.is_settled();
+    accelerates_settlement_ = accelerates_settlement_ && !settlement_.is_settled();
 }
 
-void turn_replica::hurry_settling() {
-    if (!std::exchange(hurries_, true)) {
-        list_now();
+void turn_replica::accelerate_settlement() {
+    if (!std::exchange(accelerates_settlement_, true)) {
+        list_all_now();
     }
 }
 
-void turn_replica::list_now() {
+void turn_replica::list_all_now() {
     for (auto& [node, other] : others_) {
         if (other.next != nullptr) {
-            ask_listing(node);
+            request_listing(node);
         }
     }
 }
--- a/src/pearbarrow/turns/rocksdb_turn_store.cc
+++ b/src/pearbarrow/turns/rocksdb_turn_store.cc
@@ -18,7 +18,7 @@
 namespace pearbarrow::turns {
 namespace {
 
-/// Between two attempts to open the database again.
+/// Delay between attempts to reopen the database.
 constexpr base::milliseconds reopen_interval{200};
 
 absl::Status to_status(const rocksdb::Status& status) {
@@ -35,15 +35,15 @@
                             {.step = "turn_store", .reason = "turn_storage_failed"});
 }
 
-std::string_view view_of(const rocksdb::Slice& slice) {
+std::string_view as_string_view(const rocksdb::Slice& slice) {
     return {slice.data(), slice.size()};
 }
 
 rocksdb::Options database_options(const turn_store_options& options) {
     rocksdb::Options database;
     database.create_if_missing = true;
-    // After a loss of power, writes after the last sync may be there, absent or torn, each by
-    // itself: what comes after the first damaged one was never confirmed.
+    // After a power loss, each write after the last sync may be present, absent or torn
+    // independently. Nothing after the first damaged write was confirmed, so recovery stops there.
     database.wal_recovery_mode = rocksdb::WALRecoveryMode::kPointInTimeRecovery;
     database.write_buffer_size = options.write_buffer_bytes;
     database.max_write_buffer_number = 2;
@@ -53,7 +53,7 @@
     database.stats_dump_period_sec = 0;
     database.stats_persist_period_sec = 0;
     database.max_background_jobs = 1;
-    // A database that could not write its log must be closed without touching it.
+    // A database that failed to write its log must be closed without further writes.
     database.avoid_flush_during_shutdown = true;
     database.compression = rocksdb::kNoCompression;
     rocksdb::BlockBasedTableOptions table;
@@ -107,13 +107,13 @@
         std::function<void(absl::Status)> done;
     };
 
-    /// None: the key is not there.
+    /// Returns an empty optional if the key does not exist.
     template <typename Value>
     absl::StatusOr<std::optional<Value>> read_value(const char* key) const;
     absl::Status read_identity(store_contents& contents);
     absl::Status read_progress(store_contents& contents) const;
     absl::Status read_all(store_contents& contents) const;
-    /// The open database; null while it is closed after a failed write.
+    /// Returns the open database; null while it is closed after a failed write.
     std::shared_ptr<rocksdb::DB> database() const;
     absl::Status write_batch(rocksdb::WriteBatch& batch);
     void close_database();
@@ -173,7 +173,7 @@
     return write_batch(batch);
 }
 
-/// Each may be absent: nothing has been listed or dropped, or no group entered yet.
+/// Each value may be absent: nothing has been listed or dropped, or no group has been entered yet.
 absl::Status rocksdb_turn_store::read_progress(store_contents& contents) const {
     auto positions = read_value<std::vector<peer_position>>(positions_key);
     auto last_number = read_value<change_number>(last_number_key);
@@ -196,13 +196,13 @@
     const std::unique_ptr<rocksdb::Iterator> at(database_->NewIterator({}));
     for (at->Seek("r"); at->Valid(); at->Next()) {
         if (at->key().starts_with("r")) {
-            auto entry = wire::decode<stored_reservation>(view_of(at->value()));
+            auto entry = wire::decode<stored_reservation>(as_string_view(at->value()));
             if (!entry.ok()) {
                 return entry.status();
             }
             contents.reservations.push_back(*std::move(entry));
         } else if (at->key().starts_with("t")) {
-            const auto entry = wire::decode_in_place<turn_in_place>(view_of(at->value()));
+            const auto entry = wire::decode_in_place<turn_in_place>(as_string_view(at->value()));
             if (!entry.ok()) {
                 return entry.status();
             }
@@ -236,11 +236,11 @@
 
 absl::StatusOr<turn_record> rocksdb_turn_store::read(const turn_id& turn) const {
     std::string value;
-    const auto open = database();
-    if (open == nullptr) {
+    const auto open_db = database();
+    if (open_db == nullptr) {
         return closed_status();
     }
-    if (auto status = to_status(open->Get({}, turn_key(turn), &value)); !status.ok()) {
+    if (auto status = to_status(open_db->Get({}, turn_key(turn), &value)); !status.ok()) {
         return status;
     }
     auto entry = wire::decode<stored_turn>(value);
@@ -252,8 +252,8 @@
 
 std::string rocksdb_turn_store::read_directory() const {
     std::string value;
-    const auto open = database();
-    if (open == nullptr || !open->Get({}, directory_key, &value).ok()) {
+    const auto open_db = database();
+    if (open_db == nullptr || !open_db->Get({}, directory_key, &value).ok()) {
         return {};
     }
     return value;
@@ -261,18 +261,18 @@
 
 std::vector<directory_entry> rocksdb_turn_store::read_directory_entries() const {
     std::vector<directory_entry> entries;
-    const auto open = database();
-    if (open == nullptr) {
+    const auto open_db = database();
+    if (open_db == nullptr) {
         return entries;
     }
     const rocksdb::Slice end = directory_entries_end;
     rocksdb::ReadOptions range;
     range.iterate_upper_bound = &end;
-    const std::unique_ptr<rocksdb::Iterator> at(open->NewIterator(range));
+    const std::unique_ptr<rocksdb::Iterator> at(open_db->NewIterator(range));
     constexpr std::size_t prefix_bytes = sizeof(directory_entries_begin) - 1;
     for (at->Seek(directory_entries_begin); at->Valid(); at->Next()) {
-        entries.push_back({.key = std::string(view_of(at->key()).substr(prefix_bytes)),
-                           .value = std::string(view_of(at->value()))});
+        entries.push_back({.key = std::string(as_string_view(at->key()).substr(prefix_bytes)),
+                           .value = std::string(as_string_view(at->value()))});
     }
     return entries;
 }
@@ -280,16 +280,16 @@
 absl::Status rocksdb_turn_store::write_batch(rocksdb::WriteBatch& batch) {
     rocksdb::WriteOptions synced;
     synced.sync = true;
-    const auto open = database();
-    if (open == nullptr) {
+    const auto open_db = database();
+    if (open_db == nullptr) {
         return closed_status();
     }
-    return to_status(open->Write(synced, &batch));
+    return to_status(open_db->Write(synced, &batch));
 }
 
 void rocksdb_turn_store::close_database() {
-    // The database takes nothing more after a failed write, and reading goes on only by its memory:
-    // it is opened again from what is on the disk.
+    // After a failed write the database accepts no writes and serves reads only from its in-memory
+    // state, so it is reopened from disk.
     std::shared_ptr<rocksdb::DB> closing;
     {
         const std::lock_guard lock(mutex_);
@@ -323,8 +323,8 @@
         }
         lock.unlock();
         rocksdb::WriteBatch batch;
-        for (const pending_write& one : writes) {
-            add_to_batch(batch, one.change);
+        for (const pending_write& write : writes) {
+            add_to_batch(batch, write.change);
         }
         absl::Status status = database() == nullptr ? reopen_database() : absl::OkStatus();
         if (status.ok()) {
@@ -334,8 +334,8 @@
             }
         }
         options_.post([writes = std::move(writes), status] {
-            for (const pending_write& one : writes) {
-                one.done(status);
+            for (const pending_write& write : writes) {
+                write.done(status);
             }
         });
     }
--- a/src/pearbarrow/turns/storage_membership.cc
+++ b/src/pearbarrow/turns/storage_membership.cc
@@ -8,18 +8,19 @@
 namespace pearbarrow::turns {
 namespace {
 
-/// Fewer members than this keep no turn safe from the loss of one disk.
-constexpr std::size_t least_members = 2;
+/// With fewer members than this, turns do not survive the loss of one disk.
+constexpr std::size_t min_members = 2;
 
 }  // namespace
 
 storage_membership::storage_membership(net::event_loop& loop, const base::clock& clock,
-                                       turn_replica& replica, storage_register& outside,
+                                       turn_replica& replica,
+                                       storage_register& storage_view_register,
                                        membership_options options)
     : loop_(loop),
       clock_(clock),
       replica_(replica),
-      outside_(outside),
+      register_(storage_view_register),
       options_(std::move(options)) {}
 
 storage_membership::~storage_membership() {
@@ -28,7 +29,7 @@
 
 void storage_membership::start() {
     replica_.on_listed([this] {
-        if (retirement_asked_.value_or(false)) {
+        if (retirement_requested_.value_or(false)) {
             check();
         }
     });
@@ -38,14 +39,14 @@
 void storage_membership::set_view(const directory::storage_view& view) {
     view_ = view;
     const auto* self = view.find(options_.self.node);
-    replica_.refuse_writes(self != nullptr && self->retiring);
+    replica_.reject_writes(self != nullptr && self->retiring);
     check();
 }
 
 void storage_membership::set_retiring(bool retiring) {
-    const bool is_news = retirement_asked_ != retiring;
-    retirement_asked_ = retiring;
-    if (is_news && retiring) {
+    const bool is_changed = retirement_requested_ != retiring;
+    retirement_requested_ = retiring;
+    if (is_changed && retiring) {
         check();
     }
 }
@@ -55,7 +56,7 @@
         return;
     }
     candidates_ = std::move(candidates);
-    form_later();
+    schedule_formation();
 }
 
 void storage_membership::announce() {
@@ -63,16 +64,16 @@
         return;
     }
     announcing_ = true;
-    outside_.announce(options_.self, [this](const absl::Status& status) {
+    register_.announce(options_.self, [this](const absl::Status& status) {
         announcing_ = false;
         announced_ = status.ok();
     });
 }
 
-void storage_membership::form_later() {
-    const auto before_self =
-        std::count_if(candidates_.begin(), candidates_.end(),
-                      [this](const auto& one) { return one.node < options_.self.node; });
+void storage_membership::schedule_formation() {
+    const auto before_self = std::count_if(
+        candidates_.begin(), candidates_.end(),
+        [this](const auto& candidate) { return candidate.node < options_.self.node; });
     formation_timer_ =
         loop_.after(options_.formation_quiet + before_self * options_.formation_stagger,
                     [this] { form_view(); });
@@ -81,7 +82,7 @@
 void storage_membership::form_view() {
     const bool is_candidate =
         std::any_of(candidates_.begin(), candidates_.end(),
-                    [this](const auto& one) { return one.node == options_.self.node; });
+                    [this](const auto& candidate) { return candidate.node == options_.self.node; });
     if (view_.has_value() || !register_empty_ || proposing_ || !is_candidate) {
         return;
     }
@@ -89,15 +90,15 @@
     base::log(base::log_level::info, "storage_view_formed",
               {{"members", first.members.size()}, {"groups", first.groups}});
     propose(std::move(first));
-    // Again when this is not taken and no view comes.
-    form_later();
+    // Retries if the proposal is rejected and no view arrives.
+    schedule_formation();
 }
 
 void storage_membership::check() {
-    if (proposing_ || !retirement_asked_.has_value()) {
+    if (proposing_ || !retirement_requested_.has_value()) {
         return;
     }
-    if (*retirement_asked_) {
+    if (*retirement_requested_) {
         advance_retirement();
         return;
     }
@@ -107,22 +108,22 @@
         }
         return;
     }
-    if (auto next = wanted_view(); next.has_value()) {
+    if (auto next = next_view(); next.has_value()) {
         propose(*std::move(next));
     }
 }
 
-std::optional<directory::storage_view> storage_membership::wanted_view() {
+std::optional<directory::storage_view> storage_membership::next_view() {
     const auto* self = view_->find(options_.self.node);
     const bool would_be_voter = self == nullptr || self->retiring;
-    if (would_be_voter && !replica_.has_kept_view()) {
+    if (would_be_voter && !replica_.is_view_persisted()) {
         return std::nullopt;
     }
     if (self == nullptr) {
         directory::storage_view next = *view_;
         directory::storage_member entry = options_.self;
         const auto group = group_to_enter(*view_, entry, replica_.group(), options_.groups);
-        note_waiting(!group.has_value());
+        log_waiting(!group.has_value());
         if (!group.has_value()) {
             return std::nullopt;
         }
@@ -141,22 +142,23 @@
         }
         return next;
     }
-    return without_dead();
+    return view_without_dead_member();
 }
 
-void storage_membership::note_waiting(bool waits) {
-    if (std::exchange(waits_to_enter_, waits) == waits) {
+void storage_membership::log_waiting(bool is_waiting) {
+    if (std::exchange(is_waiting_to_enter_, is_waiting) == is_waiting) {
         return;
     }
-    base::log(base::log_level::warning, waits ? "storage_member_waits" : "storage_member_enters",
+    base::log(base::log_level::warning,
+              is_waiting ? "storage_member_waits" : "storage_member_enters",
               {{"zone", options_.self.zone},
                {"view", view_->revision},
-               {"reason", "a lost zone would take the majority of its group"}});
+               {"reason", "losing a zone would cost its group the majority"}});
 }
 
-std::optional<directory::storage_view> storage_membership::without_dead() const {
+std::optional<directory::storage_view> storage_membership::view_without_dead_member() const {
     const directory::storage_view group = own_group();
-    if (!replica_.is_complete() || group.members.size() <= least_members) {
+    if (!replica_.is_complete() || group.members.size() <= min_members) {
         return std::nullopt;
     }
     const auto dead = std::find_if(group.members.begin(), group.members.end(),
@@ -164,16 +166,16 @@
     if (dead == group.members.end()) {
         return std::nullopt;
     }
-    // Only a member that is level with most others may judge: it is not the one cut off, and what
-    // the dead one confirmed is on other disks.
-    std::size_t level = 1;
+    // Only a member that is caught up with a majority may remove another: it is not the partitioned
+    // one, and everything that the dead member confirmed is on other disks.
+    std::size_t caught_up = 1;
     for (const auto& member : group.members) {
         if (member.node != options_.self.node && !is_dead(member.node) &&
-            replica_.is_level_with(member.node)) {
-            ++level;
+            replica_.is_caught_up_with(member.node)) {
+            ++caught_up;
         }
     }
-    if (level < group.majority() || !may_lose_a_voter()) {
+    if (caught_up < group.majority() || !can_remove_voter()) {
         return std::nullopt;
     }
     directory::storage_view next = *view_;
@@ -182,15 +184,15 @@
               {{"member", dead->node.value()},
                {"group", dead->group},
                {"view", view_->revision},
-               {"level", level}});
+               {"level", caught_up}});
     return next;
 }
 
-/// Two voters that leave one after the other may take with them the majority that an edge, which
-/// has heard of neither, writes to.
-bool storage_membership::may_lose_a_voter() const {
+/// If two voters leave in quick succession, an edge that knows of neither change could still write
+/// to a majority that includes both.
+bool storage_membership::can_remove_voter() const {
     if (!replica_.is_settled()) {
-        replica_.hurry_settling();
+        replica_.accelerate_settlement();
         return false;
     }
     return true;
@@ -203,11 +205,11 @@
 
 bool storage_membership::is_dead(const base::node_id& node) const {
     return node != options_.self.node &&
-           clock_.now() - replica_.last_heard(node) > options_.dead_after;
+           clock_.now() - replica_.last_reply_from(node) > options_.dead_after;
 }
 
-bool storage_membership::others_have_everything() const {
-    std::size_t holding = 0;
+bool storage_membership::is_fully_replicated() const {
+    std::size_t replicas = 0;
     for (const auto& member : own_group().members) {
         if (member.node == options_.self.node || member.retiring) {
             continue;
@@ -215,16 +217,17 @@
         if (!replica_.has_everything(member.node)) {
             return false;
         }
-        ++holding;
+        ++replicas;
     }
-    return holding >= least_members;
+    return replicas >= min_members;
 }
 
 void storage_membership::advance_retirement() {
     if (!view_.has_value()) {
         return;
     }
-    // Nothing waits for the report: its answer may be lost, and the operator's time runs.
+    // Retirement does not wait for this report: its reply may be lost while the operator's deadline
+    // runs.
     report_running();
     const auto* self = view_->find(options_.self.node);
     if (self == nullptr) {
@@ -233,7 +236,7 @@
     }
     directory::storage_view next = *view_;
     if (!self->retiring) {
-        if (!may_lose_a_voter()) {
+        if (!can_remove_voter()) {
             return;
         }
         for (auto& member : next.members) {
@@ -242,7 +245,7 @@
         propose(std::move(next));
         return;
     }
-    if (others_have_everything()) {
+    if (is_fully_replicated()) {
         std::erase_if(next.members,
                       [this](const auto& member) { return member.node == options_.self.node; });
         propose(std::move(next));
@@ -254,8 +257,8 @@
         return;
     }
     running_report_ = report::sent;
-    outside_.report_retirement(false, [this](const absl::Status& status) {
-        running_report_ = status.ok() ? report::taken : report::due;
+    register_.report_retirement(false, [this](const absl::Status& status) {
+        running_report_ = status.ok() ? report::accepted : report::due;
     });
 }
 
@@ -264,8 +267,8 @@
         return;
     }
     completed_report_ = report::sent;
-    outside_.report_retirement(true, [this](const absl::Status& status) {
-        completed_report_ = status.ok() ? report::taken : report::due;
+    register_.report_retirement(true, [this](const absl::Status& status) {
+        completed_report_ = status.ok() ? report::accepted : report::due;
     });
 }
 
@@ -273,7 +276,7 @@
     proposing_ = true;
     base::log(base::log_level::info, "storage_view_proposed",
               {{"base", next.revision}, {"members", next.members.size()}});
-    outside_.propose(next, [this](const absl::Status& status) {
+    register_.propose(next, [this](const absl::Status& status) {
         proposing_ = false;
         if (!status.ok()) {
             base::log(base::log_level::info, "storage_view_not_taken", base::log_fields(status));
--- a/src/pearbarrow/turns/turn_admission.cc
+++ b/src/pearbarrow/turns/turn_admission.cc
@@ -5,14 +5,14 @@
 
 namespace pearbarrow::turns {
 
-/// One turn, from its arrival to the end of its preparation.
+/// One turn, from its arrival until its preparation ends.
 class queued_turn final : public turn_operation {
   public:
     queued_turn(turn_admission& owner, turn_request request, turn_admission::done_callback done)
         : owner(owner),
           request(std::move(request)),
           done(std::move(done)),
-          came(owner.clock.now()) {}
+          arrived_at(owner.clock.now()) {}
     queued_turn(const queued_turn&) = delete;
     queued_turn& operator=(const queued_turn&) = delete;
     ~queued_turn() override { this->leave(); }
@@ -20,73 +20,76 @@
     bool has_begun() const override { return this->stage != stages::waiting; }
 
     void start() {
-        if (this->owner.queue.empty() && this->owner.open.has_room()) {
+        if (this->owner.queue.empty() && this->owner.preparations.has_room()) {
             this->begin();
             return;
         }
-        this->place = this->owner.queue.insert(this->owner.queue.end(), this);
+        this->position = this->owner.queue.insert(this->owner.queue.end(), this);
         const auto& options = this->owner.options;
-        const base::milliseconds tolerated = this->owner.tolerated_wait(this->came);
-        const auto wait = this->owner.open.expected_wait(this->owner.queue.size() - 1);
-        if (wait.has_value() && *wait > tolerated) {
-            this->come_back_after =
-                std::clamp(std::chrono::duration_cast<base::milliseconds>(*wait - tolerated),
+        const base::milliseconds max_wait = this->owner.max_queue_time(this->arrived_at);
+        const auto wait = this->owner.preparations.expected_wait(this->owner.queue.size() - 1);
+        if (wait.has_value() && *wait > max_wait) {
+            this->retry_after =
+                std::clamp(std::chrono::duration_cast<base::milliseconds>(*wait - max_wait),
                            options.least_retry_after, options.most_retry_after);
-            this->limit = this->owner.loop.after(base::milliseconds{0}, [this] { this->end(); });
+            this->timeout =
+                this->owner.loop.after(base::milliseconds{0}, [this] { this->reject(); });
             return;
         }
-        this->come_back_after = options.least_retry_after;
-        this->limit = this->owner.loop.after(options.longest_wait, [this] { this->end(); });
+        this->retry_after = options.least_retry_after;
+        this->timeout = this->owner.loop.after(options.longest_wait, [this] { this->reject(); });
     }
 
     void begin() {
-        this->limit.reset();
+        this->timeout.reset();
         this->stage = stages::preparing;
-        this->began = this->owner.clock.now();
-        this->owner.open.begin();
-        this->step = this->owner.begin(std::move(this->request),
-                                       [this](prepared_turn prepared) { this->take(prepared); });
+        this->started_at = this->owner.clock.now();
+        this->owner.preparations.begin();
+        this->preparation =
+            this->owner.begin(std::move(this->request),
+                              [this](prepared_turn prepared) { this->on_prepared(prepared); });
     }
 
     bool may_be_in_time(base::instant now) const { return this->request.aim > now; }
 
   private:
-    enum class stages { waiting, preparing, over };
+    enum class stages { waiting, preparing, finished };
 
-    void take(prepared_turn& prepared) {
-        this->stage = stages::over;
+    void on_prepared(prepared_turn& prepared) {
+        this->stage = stages::finished;
         prepared.was_asked = true;
-        prepared.waited = this->began - this->came;
-        this->owner.open.end(this->began, prepared.outcome != turn_outcome::unavailable,
-                             this->owner.clock.now());
-        this->owner.begin_waiting();
-        // Last: the caller may destroy this.
+        prepared.waited = this->started_at - this->arrived_at;
+        this->owner.preparations.end(this->started_at,
+                                     prepared.outcome != turn_outcome::unavailable,
+                                     this->owner.clock.now());
+        this->owner.start_queued();
+        // This must be last because the callback may destroy this object.
         const auto callback = std::exchange(this->done, nullptr);
         callback(std::move(prepared));
     }
 
-    /// Turned away: the members were never asked.
-    void end() {
+    /// Rejects the turn without sending any request to the members.
+    void reject() {
         this->leave();
         ++this->owner.turned_away_count;
         prepared_turn result;
         result.outcome = turn_outcome::overloaded;
-        result.waited = this->owner.clock.now() - this->came;
-        result.retry_after = this->come_back_after;
+        result.waited = this->owner.clock.now() - this->arrived_at;
+        result.retry_after = this->retry_after;
         const auto callback = std::exchange(this->done, nullptr);
         callback(std::move(result));
     }
 
     void leave() {
-        switch (std::exchange(this->stage, stages::over)) {
+        switch (std::exchange(this->stage, stages::finished)) {
             case stages::waiting:
-                this->owner.take_out(this->place);
+                this->owner.remove(this->position);
                 return;
             case stages::preparing:
-                this->owner.open.abandon();
-                this->owner.begin_waiting();
+                this->owner.preparations.abandon();
+                this->owner.start_queued();
                 return;
-            case stages::over:
+            case stages::finished:
                 return;
         }
     }
@@ -96,18 +99,22 @@
     turn_admission& owner;
     turn_request request;
     turn_admission::done_callback done;
-    base::instant came;
-    base::instant began{};
+    base::instant arrived_at;
+    base::instant started_at{};
     stages stage = stages::waiting;
-    std::list<queued_turn*>::iterator place;
-    base::milliseconds come_back_after{0};
-    std::unique_ptr<net::timer_handle> limit;
-    std::unique_ptr<turn_operation> step;
+    std::list<queued_turn*>::iterator position;
+    base::milliseconds retry_after{0};
+    std::unique_ptr<net::timer_handle> timeout;
+    std::unique_ptr<turn_operation> preparation;
 };
 
 turn_admission::turn_admission(net::event_loop& loop, const base::clock& clock,
                                admission_options options, begin_step begin)
-    : loop(loop), clock(clock), options(options), begin(std::move(begin)), open(options.window) {}
+    : loop(loop),
+      clock(clock),
+      options(options),
+      begin(std::move(begin)),
+      preparations(options.window) {}
 
 turn_admission::~turn_admission() = default;
 
@@ -117,34 +124,36 @@
     return turn;
 }
 
-void turn_admission::begin_waiting() {
-    while (!this->queue.empty() && this->open.has_room()) {
-        const auto next = this->next_in_line();
+void turn_admission::start_queued() {
+    while (!this->queue.empty() && this->preparations.has_room()) {
+        const auto next = this->next_turn();
         queued_turn* turn = *next;
-        this->take_out(next);
+        this->remove(next);
         turn->begin();
     }
 }
 
-void turn_admission::take_out(std::list<queued_turn*>::iterator place) {
-    this->queue.erase(place);
+void turn_admission::remove(std::list<queued_turn*>::iterator position) {
+    this->queue.erase(position);
     if (this->queue.empty()) {
-        this->crowded_since.reset();
+        this->queue_nonempty_since.reset();
     }
 }
 
-base::milliseconds turn_admission::tolerated_wait(base::instant now) {
-    if (!this->crowded_since.has_value()) {
-        this->crowded_since = now;
+base::milliseconds turn_admission::max_queue_time(base::instant now) {
+    if (!this->queue_nonempty_since.has_value()) {
+        this->queue_nonempty_since = now;
     }
-    if (now - *this->crowded_since >= this->options.crowded_for) {
-        this->crowded_until = now + this->options.crowded_memory;
+    if (now - *this->queue_nonempty_since >= this->options.overload_threshold) {
+        this->overloaded_until = now + this->options.overload_memory;
     }
-    return now < this->crowded_until ? this->options.wait_when_crowded : this->options.longest_wait;
+    return now < this->overloaded_until ? this->options.max_queue_time_when_overloaded
+                                        : this->options.longest_wait;
 }
 
-/// The first whose program can still be in time; the first of all when none can.
-std::list<queued_turn*>::iterator turn_admission::next_in_line() {
+/// Returns the first turn whose program can still meet its deadline, or the first turn if there is
+/// none.
+std::list<queued_turn*>::iterator turn_admission::next_turn() {
     const base::instant now = this->clock.now();
     const auto found = std::find_if(this->queue.begin(), this->queue.end(),
                                     [now](const auto* turn) { return turn->may_be_in_time(now); });
--- a/src/pearbarrow/turns/turn_admission.h
+++ b/src/pearbarrow/turns/turn_admission.h
@@ -1,8 +1,9 @@
-/// Turns wait here while the storage members have enough to do.
+/// Queues turns while the storage members are at capacity.
 ///
-/// Those of programs that can still be in time go first, each kind in the order it came. A turn
-/// that would wait too long is turned away at once with the time to come back, and the members
-/// never hear of it: time spent on a turn whose caller no longer waits is taken from the others.
+/// Turns of programs that can still meet their deadline go first; within each class the order is
+/// first in, first out. A turn whose wait would be too long is rejected immediately with a retry
+/// delay and never reaches the members, because work on a turn whose caller no longer waits takes
+/// capacity from the others.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,7 @@
 class turn_admission {
   public:
     using done_callback = std::function<void(prepared_turn)>;
-    /// Asks the storage members.
+    /// Starts the preparation of a turn at the storage members.
     using begin_step =
         std::function<std::unique_ptr<turn_operation>(turn_request request, done_callback done)>;
 
@@ -32,30 +33,31 @@
     turn_admission(const turn_admission&) = delete;
     turn_admission& operator=(const turn_admission&) = delete;
 
-    /// `done` runs once, from the loop. The operation must go before this object.
+    /// Runs `done` once, from the event loop. The returned operation must be destroyed before this
+    /// object.
     [[nodiscard]] std::unique_ptr<turn_operation> admit(turn_request request, done_callback done);
 
     std::size_t waiting() const { return this->queue.size(); }
-    std::size_t window() const { return this->open.size(); }
+    std::size_t window() const { return this->preparations.size(); }
     std::uint64_t turned_away() const { return this->turned_away_count; }
 
   private:
     friend class queued_turn;
 
-    void begin_waiting();
-    void take_out(std::list<queued_turn*>::iterator place);
-    base::milliseconds tolerated_wait(base::instant now);
-    std::list<queued_turn*>::iterator next_in_line();
+    void start_queued();
+    void remove(std::list<queued_turn*>::iterator position);
+    base::milliseconds max_queue_time(base::instant now);
+    std::list<queued_turn*>::iterator next_turn();
 
     net::event_loop& loop;
     const base::clock& clock;
     admission_options options;
     begin_step begin;
-    preparation_window open;
+    preparation_window preparations;
     std::list<queued_turn*> queue;
-    /// Since when there has always been one that waits.
-    std::optional<base::instant> crowded_since;
-    base::instant crowded_until{};
+    /// Time since which the queue has been non-empty.
+    std::optional<base::instant> queue_nonempty_since;
+    base::instant overloaded_until{};
     std::uint64_t turned_away_count = 0;
 };
 
--- a/src/pearbarrow/turns/turn_catch_up.cc
+++ b/src/pearbarrow/turns/turn_catch_up.cc
@@ -1,4 +1,4 @@
-// How a storage member keeps level with the others.
+// Keeps a storage member caught up with the other members of its group.
 #include <algorithm>
 #include <utility>
 
@@ -9,38 +9,39 @@
 
 namespace pearbarrow::turns {
 
-void turn_replica::ask_listing(const base::node_id& node) {
+void turn_replica::request_listing(const base::node_id& node) {
     other_member& other = others_.at(node);
     other.next.reset();
-    if (!takes_writes()) {
-        ask_later(other, entering_ ? options_.catch_up_interval : options_.listing_interval);
+    if (!accepts_writes()) {
+        schedule_listing(other, entering_ ? options_.catch_up_interval : options_.listing_interval);
         return;
     }
-    const list_request request{.asker = options_.self, .disk = other.disk, .after = other.taken};
+    const list_request request{
+        .requester = options_.self, .disk = other.disk, .after = other.taken};
     other.call = rpc_.call(
         other.member.node, other.member.address, wire::turn_list, wire::encode(request),
         options_.call_timeout,
         {.on_part = nullptr, .on_done = [this, node](const absl::StatusOr<std::string>& payload) {
-             take_listing(node, payload);
+             on_listing(node, payload);
          }});
 }
 
-void turn_replica::take_listing(const base::node_id& node,
-                                const absl::StatusOr<std::string>& payload) {
+void turn_replica::on_listing(const base::node_id& node,
+                              const absl::StatusOr<std::string>& payload) {
     other_member& other = others_.at(node);
     const auto listing = payload.ok() ? wire::decode<list_reply>(*payload)
                                       : absl::StatusOr<list_reply>(payload.status());
     if (!listing.ok()) {
-        other.level = false;
-        ask_later(other, pause_before_listing(other));
+        other.is_caught_up = false;
+        schedule_listing(other, listing_delay(other));
         return;
     }
-    other.heard = clock_.now();
+    other.last_reply_at = clock_.now();
     std::vector<turn_id> missing;
     std::copy_if(listing->turns.begin(), listing->turns.end(), std::back_inserter(missing),
                  [this](const turn_id& turn) { return !index_.has(turn); });
     if (missing.empty()) {
-        take_records(node, wire::encode(fetch_reply{}), *listing);
+        on_records(node, wire::encode(fetch_reply{}), *listing);
         return;
     }
     fetch_missing(node, std::move(missing), *listing);
@@ -50,7 +51,7 @@
                                  const list_reply& listing) {
     list_reply rest = listing;
     if (missing.size() > options_.fetched_turns) {
-        // The remaining ones come with the next listing, from the same place.
+        // The next listing starts from the same position and contains the remaining turns.
         missing.resize(options_.fetched_turns);
         rest.through = {};
         rest.more = true;
@@ -61,17 +62,16 @@
                            {.on_part = nullptr,
                             .on_done = [this, node, rest = std::move(rest)](
                                            const absl::StatusOr<std::string>& fetched) {
-                                take_records(node, fetched, rest);
+                                on_records(node, fetched, rest);
                             }});
 }
 
-void turn_replica::take_records(const base::node_id& node,
-                                const absl::StatusOr<std::string>& payload,
-                                const list_reply& listing) {
+void turn_replica::on_records(const base::node_id& node, const absl::StatusOr<std::string>& payload,
+                              const list_reply& listing) {
     auto records = payload.ok() ? wire::decode<fetch_reply>(*payload)
                                 : absl::StatusOr<fetch_reply>(payload.status());
     if (!records.ok()) {
-        ask_later(others_.at(node), options_.catch_up_interval);
+        schedule_listing(others_.at(node), options_.catch_up_interval);
         return;
     }
     store_new(std::move(records->records), listing.reservations,
@@ -81,7 +81,7 @@
                       return;
                   }
                   if (!status.ok()) {
-                      ask_later(other->second, options_.catch_up_interval);
+                      schedule_listing(other->second, options_.catch_up_interval);
                       return;
                   }
                   finish_listing(node, listing);
@@ -96,26 +96,27 @@
     }
     other.taken = std::max(other.taken, listing.through);
     other.was_complete = listing.is_complete;
-    other.level = !listing.more;
+    other.is_caught_up = !listing.more;
     other.view = listing.view;
-    settlement_.note_listed(
+    settlement_.record_listing(
         node,
-        {.view = listing.view, .is_complete = listing.is_complete, .is_level = !listing.more});
+        {.view = listing.view, .is_complete = listing.is_complete, .is_caught_up = !listing.more});
     check_complete();
     advance_settlement();
-    keep_positions();
+    persist_positions();
     if (listing.more) {
-        ask_later(other, base::milliseconds{0});
+        schedule_listing(other, base::milliseconds{0});
         return;
     }
-    ask_later(other, pause_before_listing(other));
+    schedule_listing(other, listing_delay(other));
 }
 
-/// Everything up to the positions is on this disk: a restarted member asks from there on. Without
-/// them each member would list all changes of all others, at the moment when all callers come back.
-void turn_replica::keep_positions() {
+/// Everything up to the persisted positions is on this disk, so a restarted member requests
+/// listings from there. Without the positions, each member would list all changes of all others
+/// exactly when all callers reconnect.
+void turn_replica::persist_positions() {
     const base::instant now = clock_.now();
-    if (now - positions_kept_at_ < options_.positions_interval) {
+    if (now - positions_persisted_at_ < options_.positions_interval) {
         return;
     }
     std::vector<peer_position> positions;
@@ -124,32 +125,32 @@
             positions.push_back({node, other.disk, other.taken});
         }
     }
-    if (positions == written_positions_) {
-        // A fleet at rest writes nothing.
+    if (positions == persisted_positions_) {
+        // An idle fleet writes nothing.
         return;
     }
-    positions_kept_at_ = now;
-    written_positions_ = positions;
+    positions_persisted_at_ = now;
+    persisted_positions_ = positions;
     store_change change;
     change.positions = std::move(positions);
     store_.write(std::move(change), [this, alive = alive_](const absl::Status& status) {
         if (*alive) {
-            note_write(status);
+            record_write_result(status);
         }
     });
 }
 
-base::milliseconds turn_replica::pause_before_listing(const other_member& other) const {
-    const bool is_awaited = !complete_ || other.member.retiring || hurries_;
+base::milliseconds turn_replica::listing_delay(const other_member& other) const {
+    const bool is_awaited = !complete_ || other.member.retiring || accelerates_settlement_;
     return is_awaited ? options_.catch_up_interval : options_.listing_interval;
 }
 
-void turn_replica::ask_later(other_member& other, base::milliseconds delay) {
-    other.next = loop_.after(delay, [this, node = other.member.node] { ask_listing(node); });
+void turn_replica::schedule_listing(other_member& other, base::milliseconds delay) {
+    other.next = loop_.after(delay, [this, node = other.member.node] { request_listing(node); });
 }
 
-/// Who doesn't know yet that this member is a voter may still confirm, to somebody who doesn't
-/// either, what this one would then lack.
+/// Members that do not know yet that this member is a voter may still confirm writes for senders
+/// that do not know it either, and this member would lack those writes.
 void turn_replica::check_complete() {
     if (complete_ || voter_since_ == 0) {
         return;
@@ -157,7 +158,7 @@
     const auto read = static_cast<std::size_t>(
         std::count_if(others_.begin(), others_.end(), [this](const auto& entry) {
             const other_member& other = entry.second;
-            return other.level && other.was_complete && !other.member.retiring &&
+            return other.is_caught_up && other.was_complete && !other.member.retiring &&
                    knows_since(other.view, voter_since_);
         }));
     if (read < sources_needed(voter_count(view_))) {
@@ -180,19 +181,20 @@
            found->second.through >= index_.last_listed();
 }
 
-base::instant turn_replica::last_heard(const base::node_id& member) const {
+base::instant turn_replica::last_reply_from(const base::node_id& member) const {
     const auto found = others_.find(member);
-    return found == others_.end() ? started_ : found->second.heard;
+    return found == others_.end() ? started_ : found->second.last_reply_at;
 }
 
-bool turn_replica::is_level_with(const base::node_id& member) const {
+bool turn_replica::is_caught_up_with(const base::node_id& member) const {
     const auto found = others_.find(member);
-    return found != others_.end() && found->second.level;
+    return found != others_.end() && found->second.is_caught_up;
 }
 
 std::size_t turn_replica::behind_count() const {
-    return static_cast<std::size_t>(std::count_if(
-        others_.begin(), others_.end(), [](const auto& entry) { return !entry.second.level; }));
+    return static_cast<std::size_t>(
+        std::count_if(others_.begin(), others_.end(),
+                      [](const auto& entry) { return !entry.second.is_caught_up; }));
 }
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_client.cc
+++ b/src/pearbarrow/turns/turn_client.cc
@@ -12,7 +12,7 @@
 
 constexpr base::milliseconds settle_timeout{5'000};
 
-/// A request is about one program's turn.
+/// Returns the program of a request; all entries of a request belong to one program.
 base::program_id program_of(const finish_request& request) {
     if (!request.settled.empty()) {
         return request.settled.front().program;
@@ -20,13 +20,13 @@
     return request.records.empty() ? base::program_id() : request.records.front().program;
 }
 
-/// Whoever waits for a write.
-class attached_write final : public turn_operation {
+/// Handle of the caller that waits for a write. Destroying it drops the callback, not the write.
+class write_handle final : public turn_operation {
   public:
-    explicit attached_write(std::weak_ptr<majority_write> write) : write_(std::move(write)) {}
-    attached_write(const attached_write&) = delete;
-    attached_write& operator=(const attached_write&) = delete;
-    ~attached_write() override {
+    explicit write_handle(std::weak_ptr<majority_write> write) : write_(std::move(write)) {}
+    write_handle(const write_handle&) = delete;
+    write_handle& operator=(const write_handle&) = delete;
+    ~write_handle() override {
         if (const auto write = write_.lock(); write != nullptr) {
             write->detach();
         }
@@ -68,10 +68,10 @@
     return views_.group_of(program);
 }
 
-turn_admission& turn_client::line_of(const base::program_id& program) {
+turn_admission& turn_client::queue_of(const base::program_id& program) {
     const std::uint32_t group = this->group_of(program);
-    const auto found = lines_.find(group);
-    if (found != lines_.end()) {
+    const auto found = queues_.find(group);
+    if (found != queues_.end()) {
         return found->second;
     }
     const auto begin = [this](turn_request request, auto done) -> std::unique_ptr<turn_operation> {
@@ -80,27 +80,27 @@
         step->start();
         return step;
     };
-    return lines_.try_emplace(group, loop_, clock_, options_.admission, begin).first->second;
+    return queues_.try_emplace(group, loop_, clock_, options_.admission, begin).first->second;
 }
 
 const turn_admission& turn_client::admission_of(const base::program_id& program) {
-    return line_of(program);
+    return queue_of(program);
 }
 
 admission_counts turn_client::counts() const {
     admission_counts counts;
-    for (const auto& [group, line] : lines_) {
-        counts.waiting += line.waiting();
-        counts.window += line.window();
-        counts.turned_away += line.turned_away();
+    for (const auto& [group, queue] : queues_) {
+        counts.waiting += queue.waiting();
+        counts.window += queue.window();
+        counts.turned_away += queue.turned_away();
     }
     return counts;
 }
 
 std::unique_ptr<turn_operation> turn_client::prepare(turn_request request,
                                                      std::function<void(prepared_turn)> done) {
-    turn_admission& line = line_of(request.wanted.program);
-    return line.admit(std::move(request), std::move(done));
+    turn_admission& queue = queue_of(request.wanted.program);
+    return queue.admit(std::move(request), std::move(done));
 }
 
 std::unique_ptr<turn_operation> turn_client::store(finish_request request,
@@ -111,13 +111,13 @@
     auto write = std::make_shared<majority_write>(
         loop_, caller_, options_, views_, group, std::move(request), timeout,
         majority_write::callbacks{.done = std::move(done), .over = [this, number] {
-                                      // Freed later: this callback is a part of it.
+                                      // The write is destroyed later because it owns this callback.
                                       auto node = writes_.extract(number);
                                       ended_.add(std::move(node.mapped()));
                                   }});
     writes_[number] = write;
     write->start();
-    return std::make_unique<attached_write>(write);
+    return std::make_unique<write_handle>(write);
 }
 
 void turn_client::settle(const reservation& settled) {
--- a/src/pearbarrow/turns/turn_client.h
+++ b/src/pearbarrow/turns/turn_client.h
@@ -1,7 +1,8 @@
-/// The forwarding side of turns: reserves, reads chains and stores turns on the storage members.
+/// Client of the storage members on forwarding nodes: reserves tokens, reads chains and stores
+/// turns.
 ///
 /// Writes go to every member of the program's replica group; an operation succeeds once a majority
-/// of them has confirmed it. No member leads, so the loss of any minority delays nothing.
+/// has confirmed it. There is no leader, so the loss of any minority causes no delay.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +25,10 @@
 
 namespace pearbarrow::turns {
 
-/// What waits for storage members, and what was turned away.
+/// Number of turns that wait for the storage members, and of those that were rejected.
 struct admission_counts {
     std::size_t waiting = 0;
-    /// Turns that may be prepared at once.
+    /// Maximum number of turns that are prepared concurrently.
     std::size_t window = 0;
     std::uint64_t turned_away = 0;
 };
@@ -43,38 +44,38 @@
     void set_view(const directory::storage_view& view);
     const group_views& views() const { return views_; }
 
-    /// Reserves and reads, once the members have room for it. `done` runs once.
+    /// Reserves tokens and reads the chain once the members have capacity for it. `done` runs once.
     [[nodiscard]] std::unique_ptr<turn_operation> prepare(turn_request request,
                                                           std::function<void(prepared_turn)> done);
-    /// Stores a turn that has ended, with its cost. `done` runs once a majority has it, or with an
+    /// Stores a finished turn and its cost. `done` runs once a majority has stored it, or with an
     /// error after `timeout`.
     [[nodiscard]] std::unique_ptr<turn_operation> store(finish_request request,
                                                         base::milliseconds timeout,
                                                         std::function<void(absl::Status)> done);
-    /// Tells the members what a turn cost, without an answer being waited for.
+    /// Sends the cost of a turn to the members without waiting for a reply.
     void settle(const reservation& settled);
-    /// Where the program's turns wait: each replica group has a line of its own, so that a slow one
-    /// holds up only its own turns.
+    /// Returns the queue of the program's turns. Each replica group has its own queue, so a slow
+    /// group delays only its own turns.
     const turn_admission& admission_of(const base::program_id& program);
-    /// Over all groups.
+    /// Returns the counts summed over all groups.
     admission_counts counts() const;
-    /// The replica group that keeps the program.
+    /// Returns the replica group that stores the program's turns.
     std::uint32_t group_of(const base::program_id& program) const;
 
   private:
-    turn_admission& line_of(const base::program_id& program);
+    turn_admission& queue_of(const base::program_id& program);
 
     net::event_loop& loop_;
     const base::clock& clock_;
     member_caller& caller_;
     client_options options_;
     group_views views_;
-    /// Writes that have not reached every member yet.
+    /// Writes that not every member has confirmed yet.
     std::map<std::uint64_t, std::shared_ptr<majority_write>> writes_;
     net::ended_objects<std::shared_ptr<majority_write>> ended_;
     std::uint64_t last_write_ = 0;
-    /// By replica group.
-    std::map<std::uint32_t, turn_admission> lines_;
+    /// Queues by replica group.
+    std::map<std::uint32_t, turn_admission> queues_;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_index.cc
+++ b/src/pearbarrow/turns/turn_index.cc
@@ -10,7 +10,7 @@
     return base::microseconds(own) + options.retention_slack;
 }
 
-/// The time of day may have jumped since: an age is never taken as more than `most` or below 0.
+/// The wall clock may have jumped, so the age is clamped to the range from 0 to `most`.
 base::microseconds age_of(std::int64_t stored_at, std::int64_t unix_now, base::microseconds most) {
     return std::clamp(base::microseconds(unix_now - stored_at), base::microseconds{0}, most);
 }
@@ -29,14 +29,14 @@
     }
 }
 
-bool turn_index::is_news(const reservation& value) const {
+bool turn_index::adds_information(const reservation& value) const {
     const auto program = programs_.find(value.program);
     if (program == programs_.end()) {
         return true;
     }
-    const auto held = program->second.reservations.find(value.turn);
-    return held == program->second.reservations.end() ||
-           (value.settled && !held->second.first.settled);
+    const auto known = program->second.reservations.find(value.turn);
+    return known == program->second.reservations.end() ||
+           (value.settled && !known->second.first.settled);
 }
 
 void turn_index::add(const stored_turn& turn, base::instant now) {
@@ -60,14 +60,14 @@
 
 void turn_index::add_reservation(const stored_reservation& entry, base::instant expires) {
     last_number_ = std::max(last_number_, entry.number.value());
-    if (!is_news(entry.value)) {
+    if (!adds_information(entry.value)) {
         return;
     }
     program_entry& program = programs_[entry.value.program];
     program.expires = std::max(program.expires, expires);
-    const auto held = program.reservations.find(entry.value.turn);
-    if (held != program.reservations.end()) {
-        changes_.erase(held->second.second);
+    const auto known = program.reservations.find(entry.value.turn);
+    if (known != program.reservations.end()) {
+        changes_.erase(known->second.second);
     }
     program.reservations[entry.value.turn] = {entry.value, entry.number};
     changes_[entry.number] = {entry.value.turn, entry.value.program, true};
@@ -79,8 +79,8 @@
     if (entry == programs_.end()) {
         return found;
     }
-    for (const auto& [turn, held] : entry->second.reservations) {
-        found.push_back(held.first);
+    for (const auto& [turn, known] : entry->second.reservations) {
+        found.push_back(known.first);
     }
     return found;
 }
@@ -147,9 +147,9 @@
             ++at;
             continue;
         }
-        for (const auto& [turn, held] : at->second.reservations) {
-            changes_.erase(held.second);
-            dropped.dropped_reservations.push_back(held.first);
+        for (const auto& [turn, known] : at->second.reservations) {
+            changes_.erase(known.second);
+            dropped.dropped_reservations.push_back(known.first);
         }
         at = programs_.erase(at);
     }
--- a/src/pearbarrow/turns/turn_index.h
+++ b/src/pearbarrow/turns/turn_index.h
@@ -1,7 +1,8 @@
-/// What one storage member knows of turns and reservations, without their texts.
+/// In-memory index of the turns and reservations of one storage member, without their texts.
 ///
-/// A pure state machine: time is given with each call. Invariants: a turn is never replaced; a
-/// settled reservation never becomes unsettled; each change gets a higher number than any before.
+/// A pure state machine: the time is passed with each call. Invariants: a turn is never replaced; a
+/// settled reservation never becomes unsettled; each change gets a higher number than all earlier
+/// ones.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +20,14 @@
 namespace pearbarrow::turns {
 
 struct index_options {
-    /// Added to each turn's own retention, so that no bound is met too early.
+    /// Added to each turn's own retention so that no turn expires early.
     base::seconds retention_slack{15};
-    /// A program's reservations are kept this long after its last change, until it is told how long
-    /// programs may come back (`keep_reservations_for`).
+    /// A program's reservations are kept this long after its last change, unless
+    /// `keep_reservations_for` sets another time.
     base::seconds reservation_retention{600};
 };
 
-/// A part of the changes after some number.
+/// A page of the changes after some number.
 struct index_listing {
     std::vector<turn_id> turns;
     std::vector<reservation> reservations;
@@ -38,32 +39,32 @@
   public:
     explicit turn_index(index_options options) : options_(options) {}
 
-    /// Takes what a store holds; `unix_now` in microseconds since the Unix epoch.
+    /// Loads the contents of a store. `unix_now` is in microseconds since the Unix epoch.
     void load(const store_contents& contents, base::instant now, std::int64_t unix_now);
 
-    /// Numbers a change that is about to be stored.
+    /// Assigns a number to a change that is about to be stored.
     change_number next_number() { return change_number(++last_number_); }
-    /// Number of the newest change that `list` tells of.
+    /// Returns the number of the newest change that `list` returns.
     change_number last_listed() const {
         return changes_.empty() ? change_number() : changes_.rbegin()->first;
     }
 
-    /// Whether a reservation says more than what is held.
-    bool is_news(const reservation& value) const;
+    /// Returns whether a reservation is unknown, or settles a known one.
+    bool adds_information(const reservation& value) const;
     bool has(const turn_id& turn) const { return turns_.find(turn) != turns_.end(); }
-    /// Call once the store has confirmed them.
+    /// Adds an entry. Must be called only after the store has confirmed it.
     void add(const stored_turn& turn, base::instant now);
     void add(const stored_reservation& entry, base::instant now);
 
     std::vector<reservation> reservations(const base::program_id& program) const;
-    /// The turns of a chain, oldest first; none when a part of it is not here.
+    /// Returns the turns of a chain, oldest first, or nothing if a part of it is missing.
     std::optional<std::vector<turn_id>> chain(const turn_id& last) const;
     index_listing list(change_number after, std::size_t most) const;
 
-    /// Programs that rested for longer are not asked for any more. Those that are kept already are
-    /// kept as long as was said before.
+    /// Sets the retention of reservations: programs that were idle for longer are never requested
+    /// again. Programs that are already stored keep their earlier expiry.
     void keep_reservations_for(base::seconds time) { options_.reservation_retention = time; }
-    /// Takes out what has expired, and names it for the store.
+    /// Removes expired entries and returns the matching change for the store.
     store_change expire(base::instant now);
     std::size_t turn_count() const { return turns_.size(); }
     std::size_t program_count() const { return programs_.size(); }
@@ -79,7 +80,7 @@
         std::map<turn_id, std::pair<reservation, change_number>> reservations;
         base::instant expires;
     };
-    /// What a change number stands for.
+    /// The entry that a change number refers to.
     struct change_target {
         turn_id turn;
         base::program_id program;
--- a/src/pearbarrow/turns/turn_operation.h
+++ b/src/pearbarrow/turns/turn_operation.h
@@ -1,4 +1,4 @@
-/// What the steps of a turn on the storage members have in common.
+/// Types shared by the steps of a turn at the storage members.
 #pragma once
 
 #include <cstdint>
@@ -16,58 +16,59 @@
 
 struct admission_options {
     window_options window;
-    /// Longest time that a turn waits before the members are asked. With the preparation's own
-    /// bound it stays below the shortest time that callers give a turn.
+    /// Maximum time that a turn is queued before its preparation begins. Together with the timeout
+    /// of the preparation it is below the shortest timeout that callers give a turn.
     base::milliseconds longest_wait{1'000};
-    /// The same once turns have waited without a break for `crowded_for`: then more come than the
-    /// members can take, and a line as long as a program's slack makes everybody late.
-    base::milliseconds wait_when_crowded{300};
-    base::milliseconds crowded_for{1'000};
-    /// How long that is held against those that come.
-    base::milliseconds crowded_memory{1'000};
-    /// Bounds of what a turn that is turned away is told.
+    /// Maximum queue time once the queue has been non-empty for `overload_threshold`. More turns
+    /// then arrive than the members can handle, and a queue as long as a program's slack would make
+    /// every program late.
+    base::milliseconds max_queue_time_when_overloaded{300};
+    base::milliseconds overload_threshold{1'000};
+    /// Time for which the reduced limit stays in effect.
+    base::milliseconds overload_memory{1'000};
+    /// Bounds of the retry delay returned with a rejected turn.
     base::milliseconds least_retry_after{100};
     base::milliseconds most_retry_after{1'000};
 };
 
 struct client_options {
-    /// Tells the members of this node's load, and takes what they know of the others'; null:
-    /// neither.
+    /// Sends this node's load to the members and receives the load of other nodes. Null disables
+    /// both.
     dispatch::load_exchange* loads = nullptr;
     std::string zone;
-    /// Longest time for the members to confirm a reservation.
+    /// Timeout for the members to confirm a reservation.
     base::milliseconds reserve_timeout{1'500};
-    /// Before a member that failed is asked again.
+    /// Delay before a request to a member is retried after a failure.
     base::milliseconds retry_interval{150};
-    /// Longest time of one question to one member: as long as a preparation may take, since the
-    /// member may be behind, and each copy of a question is work for it. A turn that is stored is
-    /// told again, each time with twice as long.
+    /// Timeout of one request to one member. It equals the timeout of a preparation because a
+    /// member may be overloaded and each retransmission adds work for it. Requests that store a
+    /// turn are retransmitted with exponentially increasing timeouts.
     base::milliseconds call_timeout{1'500};
-    /// A member that does not give the chain within this time is helped by the others.
+    /// If a member has not returned the chain after this time, the other members are queried too.
     base::milliseconds chain_patience{60};
     admission_options admission;
 };
 
-/// What a turn needs before it may run.
+/// Parameters of the preparation of a turn.
 struct turn_request {
     reservation wanted;
     std::uint64_t budget = 0;
-    /// Empty: the turn goes on from none, or its prompt is whole.
+    /// The turn that this one continues; empty if there is none or the prompt is complete.
     turn_id previous;
-    /// When the turn's program should be over: until then it can be in time.
+    /// Deadline of the turn's program.
     base::instant aim = base::instant::max();
 };
 
-/// How the preparation of a turn ended.
+/// Result of the preparation of a turn.
 enum class turn_outcome {
-    /// The reservation is confirmed, and `chain_text` is what the prompt begins with.
+    /// The reservation is confirmed, and `chain_text` is the beginning of the prompt.
     may_run,
     budget_exceeded,
-    /// The turn that this one goes on from does not exist, for certain.
+    /// The previous turn certainly does not exist.
     no_such_turn,
-    /// Too few members answered in time.
+    /// Too few members replied in time.
     unavailable,
-    /// The members have too much to do: they were not asked.
+    /// The members are overloaded; no request was sent to them.
     overloaded,
 };
 
@@ -76,32 +77,32 @@
 struct prepared_turn {
     turn_outcome outcome = turn_outcome::unavailable;
     std::string chain_text;
-    /// The chain's turns where another replica group holds them; stored with the turn, so that the
-    /// program's own group has all that its turns go on from.
+    /// The turns of the chain, if another replica group stores them. They are stored together with
+    /// the new turn, so that the program's own group has its whole chain.
     std::vector<turn_record> copied;
-    /// For logs: tokens of the program's other turns, and members that answered.
+    /// Tokens of the program's other turns, for logs.
     std::uint64_t other_tokens = 0;
-    /// The back end that ran the turn before this one; 0: not known.
+    /// The back end that executed the previous turn; 0 if unknown.
     dispatch::backend_key earlier_backend = 0;
     std::size_t members_answered = 0;
     std::uint64_t view_revision = 0;
-    /// Members were asked to reserve.
+    /// Whether reservations were sent to the members.
     bool was_asked = false;
-    /// Before they were asked.
+    /// Time spent in the queue before the preparation began.
     base::microseconds waited{0};
-    /// When a turn that was not asked for may come back; 0: not known.
+    /// Retry delay of a rejected turn; 0 if unknown.
     base::milliseconds retry_after{0};
 };
 
-/// A step under way. Destroying it ends it without a callback.
+/// An operation in progress. Destroying it cancels it without running its callback.
 class turn_operation {
   public:
     virtual ~turn_operation() = default;
-    /// Whether a member may have heard of it.
+    /// Returns whether a member may have received a request of this operation.
     virtual bool has_begun() const { return true; }
 };
 
-/// Members that count: those that are not about to leave.
+/// Returns the members that are not retiring.
 std::vector<directory::storage_member> voters_of(const directory::storage_view& view);
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_preparation.cc
+++ b/src/pearbarrow/turns/turn_preparation.cc
@@ -39,9 +39,9 @@
 }
 
 void turn_preparation::start() {
-    limit_ = loop_.after(options_.reserve_timeout, [this] { end(turn_outcome::unavailable); });
+    timeout_ = loop_.after(options_.reserve_timeout, [this] { end(turn_outcome::unavailable); });
     if (members_.empty()) {
-        limit_ = loop_.after(base::milliseconds{0}, [this] { end(turn_outcome::unavailable); });
+        timeout_ = loop_.after(base::milliseconds{0}, [this] { end(turn_outcome::unavailable); });
         return;
     }
     const member_state* chain_from = nearest();
@@ -49,7 +49,7 @@
         send_reserve(member, wants_chain() && &member == chain_from);
     }
     if (wants_chain()) {
-        patience_ = loop_.after(options_.chain_patience, [this] { read_from_all(); });
+        chain_timer_ = loop_.after(options_.chain_patience, [this] { read_from_all(); });
     }
 }
 
@@ -60,31 +60,31 @@
     return found == members_.end() ? &members_.front() : &*found;
 }
 
-/// The totals come from two members, so that one that is away or new leaves them to another.
-dispatch::load_report turn_preparation::own_load(const member_state& member) const {
+/// Load totals are requested from two members, so that one suffices if the other is down or new.
+dispatch::load_report turn_preparation::load_report_for(const member_state& member) const {
     if (options_.loads == nullptr) {
         return {};
     }
-    const auto drawn = std::next(
+    const auto second_source = std::next(
         members_.begin(), static_cast<std::ptrdiff_t>(
                               base::stable_hash(request_.wanted.turn.value()) % members_.size()));
-    const bool wants_totals = &member == nearest() || &member == &*drawn;
+    const bool wants_totals = &member == nearest() || &member == &*second_source;
     return options_.loads->report(wants_totals);
 }
 
 void turn_preparation::send_reserve(member_state& member, bool with_chain) {
     member.reserve_retry.reset();
-    const reserve_request message{request_.wanted, request_.previous, with_chain, own_load(member),
-                                  member.view};
+    const reserve_request message{request_.wanted, request_.previous, with_chain,
+                                  load_report_for(member), member.view};
     member.reserve_call = caller_.call(
         member.member, wire::turn_reserve, wire::encode(message), options_.call_timeout,
         [this, &member, with_chain](const absl::StatusOr<std::string>& payload) {
-            take_reserve(member, with_chain, payload);
+            on_reserve_reply(member, with_chain, payload);
         });
 }
 
-void turn_preparation::take_reserve(member_state& member, bool with_chain,
-                                    const absl::StatusOr<std::string>& payload) {
+void turn_preparation::on_reserve_reply(member_state& member, bool with_chain,
+                                        const absl::StatusOr<std::string>& payload) {
     auto reply = payload.ok() ? wire::decode<reserve_reply>(*payload)
                               : absl::StatusOr<reserve_reply>(payload.status());
     if (!reply.ok()) {
@@ -96,7 +96,7 @@
         }
         return;
     }
-    if (ends_outdated(member, reply->newer)) {
+    if (end_if_outdated(member, reply->newer)) {
         return;
     }
     member.confirmed = true;
@@ -106,68 +106,70 @@
         options_.loads->take(reply->load);
     }
     if (with_chain) {
-        take_chain(member, reply->is_complete, reply->chain, std::move(reply->chain_text));
+        on_chain_result(member, reply->is_complete, reply->chain, std::move(reply->chain_text));
     }
     if (budget_fits_) {
-        // The chain comes after most have confirmed when its member's disk is the slowest.
-        go_on();
+        // The chain arrives after the majority has confirmed if the disk of its member is the
+        // slowest.
+        finish_if_ready();
         return;
     }
-    judge();
+    check_budget();
 }
 
 void turn_preparation::read_from_all() {
-    if (asked_all_ || chain_.has_value() || callbacks_.done == nullptr) {
+    if (reading_all_ || chain_.has_value() || callbacks_.done == nullptr) {
         return;
     }
-    asked_all_ = true;
+    reading_all_ = true;
     for (member_state& member : members_) {
-        if (!member.says_absent) {
+        if (!member.reports_absent) {
             send_read(member);
         }
     }
 }
 
-/// Few turns go on from another program's, so no record says which group has them: asking everybody
-/// costs some messages then, and nothing otherwise.
-void turn_preparation::read_elsewhere() {
-    if (asked_elsewhere_ || chain_.has_value() || callbacks_.done == nullptr) {
+/// Few turns continue a turn of another program, so no record states which group stores it.
+/// Querying all groups costs messages only in those cases.
+void turn_preparation::read_other_groups() {
+    if (reading_other_groups_ || chain_.has_value() || callbacks_.done == nullptr) {
         return;
     }
-    asked_elsewhere_ = true;
+    reading_other_groups_ = true;
     for (std::uint32_t group = 0; group < views_.groups(); ++group) {
         if (group != group_) {
-            elsewhere_.splice(elsewhere_.end(), states_of(views_.of(group)));
+            other_members_.splice(other_members_.end(), states_of(views_.of(group)));
         }
     }
-    // A fleet of one group has nobody else to ask.
-    chain_is_absent_ = all_say_absent();
-    for (member_state& member : elsewhere_) {
-        member.is_elsewhere = true;
+    // With a single group there are no other members to query.
+    chain_is_absent_ = all_report_absent();
+    for (member_state& member : other_members_) {
+        member.in_other_group = true;
         send_read(member);
     }
 }
 
 void turn_preparation::send_read(member_state& member) {
     member.read_retry.reset();
-    const read_request question{
-        .turn = request_.previous, .wants_records = member.is_elsewhere, .view = member.view};
+    const read_request message{
+        .turn = request_.previous, .wants_records = member.in_other_group, .view = member.view};
     member.read_call =
-        caller_.call(member.member, wire::turn_read, wire::encode(question), options_.call_timeout,
+        caller_.call(member.member, wire::turn_read, wire::encode(message), options_.call_timeout,
                      [this, &member](const absl::StatusOr<std::string>& payload) {
-                         take_read(member, payload);
+                         on_read_reply(member, payload);
                      });
 }
 
-void turn_preparation::copy_records(std::vector<turn_record> records) {
+void turn_preparation::set_copied_records(std::vector<turn_record> records) {
     for (turn_record& record : records) {
-        // The copy is kept by the group of the program that goes on from it.
+        // The copy is stored by the group of the program that continues it.
         record.program = request_.wanted.program;
     }
     copied_ = std::move(records);
 }
 
-void turn_preparation::take_read(member_state& member, const absl::StatusOr<std::string>& payload) {
+void turn_preparation::on_read_reply(member_state& member,
+                                     const absl::StatusOr<std::string>& payload) {
     auto reply = payload.ok() ? wire::decode<read_reply>(*payload)
                               : absl::StatusOr<read_reply>(payload.status());
     if (!reply.ok()) {
@@ -175,22 +177,22 @@
             loop_.after(options_.retry_interval, [this, &member] { send_read(member); });
         return;
     }
-    if (reply->chain != chain_result::found && ends_outdated(member, reply->newer)) {
+    if (reply->chain != chain_result::found && end_if_outdated(member, reply->newer)) {
         return;
     }
-    if (member.is_elsewhere && !chain_.has_value() && reply->chain == chain_result::found) {
+    if (member.in_other_group && !chain_.has_value() && reply->chain == chain_result::found) {
         for (const turn_record& record : reply->records) {
             reply->chain_text += record.input;
             reply->chain_text += record.output;
         }
-        copy_records(std::move(reply->records));
+        set_copied_records(std::move(reply->records));
     }
-    take_chain(member, reply->is_complete, reply->chain, std::move(reply->chain_text));
-    go_on();
+    on_chain_result(member, reply->is_complete, reply->chain, std::move(reply->chain_text));
+    finish_if_ready();
 }
 
-void turn_preparation::take_chain(member_state& member, bool is_complete, chain_result result,
-                                  std::string text) {
+void turn_preparation::on_chain_result(member_state& member, bool is_complete, chain_result result,
+                                       std::string text) {
     if (chain_.has_value()) {
         return;
     }
@@ -198,50 +200,50 @@
         chain_ = std::move(text);
         return;
     }
-    take_absent(member, is_complete && result == chain_result::absent);
+    on_chain_absent(member, is_complete && result == chain_result::absent);
 }
 
-void turn_preparation::take_absent(member_state& member, bool is_certain) {
-    member.says_absent = is_certain;
-    if (!is_certain && asked_all_) {
+void turn_preparation::on_chain_absent(member_state& member, bool is_certain) {
+    member.reports_absent = is_certain;
+    if (!is_certain && reading_all_) {
         member.read_retry =
             loop_.after(options_.retry_interval, [this, &member] { send_read(member); });
     }
-    chain_is_absent_ = all_say_absent();
+    chain_is_absent_ = all_report_absent();
     read_from_all();
-    // A turn that this group has confirmed is at one of any majority.
-    if (count(&member_state::says_absent) >= majority_) {
-        read_elsewhere();
+    // A turn confirmed by this group is present in every majority of it.
+    if (count(&member_state::reports_absent) >= majority_) {
+        read_other_groups();
     }
 }
 
-bool turn_preparation::all_say_absent() const {
-    const auto says_absent = [](const member_state& member) { return member.says_absent; };
-    return asked_elsewhere_ && std::all_of(members_.begin(), members_.end(), says_absent) &&
-           std::all_of(elsewhere_.begin(), elsewhere_.end(), says_absent);
+bool turn_preparation::all_report_absent() const {
+    const auto reports_absent = [](const member_state& member) { return member.reports_absent; };
+    return reading_other_groups_ && std::all_of(members_.begin(), members_.end(), reports_absent) &&
+           std::all_of(other_members_.begin(), other_members_.end(), reports_absent);
 }
 
-void turn_preparation::judge() {
-    if (budget_fits_ || looking_again_ || count(&member_state::confirmed) < majority_ ||
+void turn_preparation::check_budget() {
+    if (budget_fits_ || rereading_ || count(&member_state::confirmed) < majority_ ||
         count(&member_state::confirmed_complete) < majority_) {
         return;
     }
-    switch (judge_first(known_, request_.wanted, request_.budget)) {
+    switch (check_reserved(known_, request_.wanted, request_.budget)) {
         case budget_verdict::fits:
             budget_fits_ = true;
-            go_on();
+            finish_if_ready();
             return;
         case budget_verdict::exceeded:
             end(turn_outcome::budget_exceeded);
             return;
-        case budget_verdict::look_again:
-            look_again();
+        case budget_verdict::needs_reread:
+            reread_reservations();
             return;
     }
 }
 
-void turn_preparation::look_again() {
-    looking_again_ = true;
+void turn_preparation::reread_reservations() {
+    rereading_ = true;
     for (member_state& member : members_) {
         send_usage(member);
     }
@@ -253,12 +255,12 @@
         member.member, wire::turn_usage,
         wire::encode(usage_request{request_.wanted.program, member.view}), options_.call_timeout,
         [this, &member](const absl::StatusOr<std::string>& payload) {
-            take_usage(member, payload);
+            on_usage_reply(member, payload);
         });
 }
 
-void turn_preparation::take_usage(member_state& member,
-                                  const absl::StatusOr<std::string>& payload) {
+void turn_preparation::on_usage_reply(member_state& member,
+                                      const absl::StatusOr<std::string>& payload) {
     const auto reply = payload.ok() ? wire::decode<usage_reply>(*payload)
                                     : absl::StatusOr<usage_reply>(payload.status());
     if (!reply.ok()) {
@@ -266,23 +268,23 @@
             loop_.after(options_.retry_interval, [this, &member] { send_usage(member); });
         return;
     }
-    if (ends_outdated(member, reply->newer)) {
+    if (end_if_outdated(member, reply->newer)) {
         return;
     }
     known_.add(reply->reservations);
-    member.looked_again = reply->is_complete;
-    if (budget_fits_ || count(&member_state::looked_again) < majority_) {
+    member.has_reread = reply->is_complete;
+    if (budget_fits_ || count(&member_state::has_reread) < majority_) {
         return;
     }
-    if (judge_again(known_, request_.wanted, request_.budget) == budget_verdict::exceeded) {
+    if (check_reread(known_, request_.wanted, request_.budget) == budget_verdict::exceeded) {
         end(turn_outcome::budget_exceeded);
         return;
     }
     budget_fits_ = true;
-    go_on();
+    finish_if_ready();
 }
 
-void turn_preparation::go_on() {
+void turn_preparation::finish_if_ready() {
     if (chain_is_absent_) {
         end(turn_outcome::no_such_turn);
         return;
@@ -292,8 +294,8 @@
     }
 }
 
-bool turn_preparation::ends_outdated(const member_state& member,
-                                     const std::optional<directory::storage_view>& newer) {
+bool turn_preparation::end_if_outdated(const member_state& member,
+                                       const std::optional<directory::storage_view>& newer) {
     if (!newer.has_value()) {
         return false;
     }
@@ -301,9 +303,9 @@
     if (!outdated) {
         return true;
     }
-    limit_.reset();
-    patience_.reset();
-    outdated(views_.note_newer(member.member.group, *newer));
+    timeout_.reset();
+    chain_timer_.reset();
+    outdated(views_.record_newer(member.member.group, *newer));
     return true;
 }
 
@@ -312,8 +314,8 @@
     if (!done) {
         return;
     }
-    limit_.reset();
-    patience_.reset();
+    timeout_.reset();
+    chain_timer_.reset();
     prepared_turn result{.outcome = outcome,
                          .chain_text = std::move(chain_).value_or(std::string()),
                          .copied = std::move(copied_),
--- a/src/pearbarrow/turns/turn_preparation.h
+++ b/src/pearbarrow/turns/turn_preparation.h
@@ -1,4 +1,4 @@
-/// Everything before a turn may run: reservation, budget and the chain that it goes on from.
+/// Prepares a turn: reserves tokens, checks the budget and reads the chain that the turn continues.
 #pragma once
 
 #include <functional>
@@ -18,19 +18,21 @@
 
 namespace pearbarrow::turns {
 
-/// Protocol: the reservation goes to every member of the program's replica group; the one nearest
-/// is asked for the chain with it. When that one lacks the chain, or is slow, all others are asked;
-/// a chain found anywhere is the truth. A turn may go on from one of another program: once most of
-/// the group lack the chain, the members of all other groups are asked too. It is absent for
-/// certain only when every member of every group, each complete, says so. A member that knows newer
-/// voters than the ones asked here ends the preparation, which is then to begin anew.
+/// Protocol: the reservation is sent to every member of the program's replica group, and the
+/// request to the nearest member also reads the chain. If that member lacks the chain or is
+/// slow, all others are queried; turns are immutable, so any copy of the chain is valid. A turn may
+/// continue a turn of another program: once a majority of the group lacks the chain, the members of
+/// all other groups are queried too. The chain is certainly absent only if every member of every
+/// group is complete and reports it absent. A reply with newer voters than those used here ends the
+/// preparation, which must then be restarted.
 class turn_preparation final : public turn_operation {
   public:
-    /// One of the two runs, once.
+    /// Exactly one of the two callbacks runs, once.
     struct callbacks {
         std::function<void(prepared_turn)> done;
-        /// What the member has told stands in the views. True: it names the newer voters.
-        std::function<void(bool is_told)> outdated;
+        /// The newer view has been recorded in the group views. `names_voters` is true if it names
+        /// the newer voters.
+        std::function<void(bool names_voters)> outdated;
     };
 
     turn_preparation(net::event_loop& loop, member_caller& caller, const client_options& options,
@@ -39,10 +41,10 @@
     void start();
 
   private:
-    /// What one member has said so far.
+    /// Replies of one member so far.
     struct member_state {
         directory::storage_member member;
-        /// The voters that it is asked as one of.
+        /// Stamp of the view under which the member is queried.
         view_stamp view;
         std::unique_ptr<net::peer_call_handle> reserve_call;
         std::unique_ptr<net::peer_call_handle> read_call;
@@ -50,37 +52,38 @@
         std::unique_ptr<net::timer_handle> read_retry;
         bool confirmed = false;
         bool confirmed_complete = false;
-        bool looked_again = false;
-        bool says_absent = false;
-        /// Of another replica group: asked for the chain only.
-        bool is_elsewhere = false;
+        bool has_reread = false;
+        bool reports_absent = false;
+        /// The member belongs to another replica group and is queried only for the chain.
+        bool in_other_group = false;
     };
 
     bool wants_chain() const { return !request_.previous.value().empty(); }
     const member_state* nearest() const;
-    dispatch::load_report own_load(const member_state& member) const;
+    dispatch::load_report load_report_for(const member_state& member) const;
     void send_reserve(member_state& member, bool with_chain);
-    void take_reserve(member_state& member, bool with_chain,
-                      const absl::StatusOr<std::string>& payload);
+    void on_reserve_reply(member_state& member, bool with_chain,
+                          const absl::StatusOr<std::string>& payload);
     void read_from_all();
-    void read_elsewhere();
+    void read_other_groups();
     void send_read(member_state& member);
-    void take_read(member_state& member, const absl::StatusOr<std::string>& payload);
-    void take_chain(member_state& member, bool is_complete, chain_result result, std::string text);
-    void take_absent(member_state& member, bool is_certain);
-    void copy_records(std::vector<turn_record> records);
-    void judge();
-    void look_again();
+    void on_read_reply(member_state& member, const absl::StatusOr<std::string>& payload);
+    void on_chain_result(member_state& member, bool is_complete, chain_result result,
+                         std::string text);
+    void on_chain_absent(member_state& member, bool is_certain);
+    void set_copied_records(std::vector<turn_record> records);
+    void check_budget();
+    void reread_reservations();
     void send_usage(member_state& member);
-    void take_usage(member_state& member, const absl::StatusOr<std::string>& payload);
-    void go_on();
+    void on_usage_reply(member_state& member, const absl::StatusOr<std::string>& payload);
+    void finish_if_ready();
     void end(turn_outcome outcome);
-    /// True: the member's answer has ended the preparation.
-    bool ends_outdated(const member_state& member,
-                       const std::optional<directory::storage_view>& newer);
+    /// Ends the preparation if the member reports newer voters. Returns whether it did.
+    bool end_if_outdated(const member_state& member,
+                         const std::optional<directory::storage_view>& newer);
     static std::list<member_state> states_of(const directory::storage_view& group);
     std::size_t count(bool member_state::*flag) const;
-    bool all_say_absent() const;
+    bool all_report_absent() const;
 
     net::event_loop& loop_;
     member_caller& caller_;
@@ -88,23 +91,24 @@
     group_views& views_;
     turn_request request_;
     callbacks callbacks_;
-    /// Of the program's group.
+    /// Members of the program's group.
     std::list<member_state> members_;
-    /// Of the others, once they are asked: a turn costs its own group only.
-    std::list<member_state> elsewhere_;
+    /// Members of the other groups; empty until they are queried, because a turn normally involves
+    /// only its own group.
+    std::list<member_state> other_members_;
     std::size_t majority_ = 0;
     reservation_union known_;
     std::optional<std::string> chain_;
     std::vector<turn_record> copied_;
     bool chain_is_absent_ = false;
-    bool asked_all_ = false;
-    bool asked_elsewhere_ = false;
+    bool reading_all_ = false;
+    bool reading_other_groups_ = false;
     bool budget_fits_ = false;
-    bool looking_again_ = false;
+    bool rereading_ = false;
     std::uint64_t view_revision_ = 0;
     std::uint32_t group_ = 0;
-    std::unique_ptr<net::timer_handle> limit_;
-    std::unique_ptr<net::timer_handle> patience_;
+    std::unique_ptr<net::timer_handle> timeout_;
+    std::unique_ptr<net::timer_handle> chain_timer_;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_replica.cc
+++ b/src/pearbarrow/turns/turn_replica.cc
@@ -13,7 +13,7 @@
 
 constexpr base::milliseconds expiry_interval{5'000};
 
-absl::Status refused(std::string_view reason) {
+absl::Status rejection(std::string_view reason) {
     return base::make_error(absl::StatusCode::kFailedPrecondition, "the member takes no writes",
                             {.step = "turn_replica", .reason = std::string(reason)});
 }
@@ -27,16 +27,16 @@
     return text;
 }
 
-/// Decodes a request and hands it on, or refuses it.
+/// Decodes a request and passes it to the handler, or fails it.
 template <typename Request, typename Handler>
 net::peer_method_handler decoded(Handler handler) {
-    return [handler](std::string_view payload, std::shared_ptr<net::peer_responder> answer) {
+    return [handler](std::string_view payload, std::shared_ptr<net::peer_responder> responder) {
         auto request = wire::decode<Request>(payload);
         if (!request.ok()) {
-            answer->fail(request.status());
+            responder->fail(request.status());
             return;
         }
-        handler(*std::move(request), std::move(answer));
+        handler(*std::move(request), std::move(responder));
     };
 }
 
@@ -50,7 +50,7 @@
       store_(store),
       options_(std::move(options)),
       index_(options_.index),
-      board_({}, clock.now()) {
+      load_table_({}, clock.now()) {
     register_methods();
 }
 
@@ -60,25 +60,25 @@
 
 void turn_replica::register_methods() {
     rpc_.register_method(wire::turn_reserve,
-                         decoded<reserve_request>([this](auto request, auto answer) {
-                             reserve(request, std::move(answer));
-                         }));
-    rpc_.register_method(wire::turn_read, decoded<read_request>([this](auto request, auto answer) {
-                             read(request, answer);
+                         decoded<reserve_request>([this](auto request, auto responder) {
+                             reserve(request, std::move(responder));
                          }));
+    rpc_.register_method(
+        wire::turn_read,
+        decoded<read_request>([this](auto request, auto responder) { read(request, responder); }));
     rpc_.register_method(wire::turn_finish,
-                         decoded<finish_request>([this](auto request, auto answer) {
-                             finish(std::move(request), std::move(answer));
+                         decoded<finish_request>([this](auto request, auto responder) {
+                             finish(std::move(request), std::move(responder));
                          }));
-    rpc_.register_method(wire::turn_list, decoded<list_request>([this](auto request, auto answer) {
-                             list(request, answer);
-                         }));
-    rpc_.register_method(
-        wire::turn_fetch,
-        decoded<fetch_request>([this](auto request, auto answer) { fetch(request, answer); }));
     rpc_.register_method(
-        wire::turn_usage,
-        decoded<usage_request>([this](auto request, auto answer) { usage(request, answer); }));
+        wire::turn_list,
+        decoded<list_request>([this](auto request, auto responder) { list(request, responder); }));
+    rpc_.register_method(wire::turn_fetch,
+                         decoded<fetch_request>(
+                             [this](auto request, auto responder) { fetch(request, responder); }));
+    rpc_.register_method(wire::turn_usage,
+                         decoded<usage_request>(
+                             [this](auto request, auto responder) { usage(request, responder); }));
 }
 
 absl::Status turn_replica::load() {
@@ -90,17 +90,17 @@
     complete_ = contents->complete;
     group_ = contents->group;
     known_view_ = contents->view;
-    kept_view_ = contents->view;
+    persisted_view_ = contents->view;
     index_.load(*contents, clock_.now(), clock_.unix_microseconds());
     for (peer_position& position : contents->positions) {
-        kept_positions_[position.node] = std::move(position);
+        loaded_positions_[position.node] = std::move(position);
     }
     base::log(base::log_level::info, "turn_store_loaded",
               {{"disk", disk_.value()},
                {"complete", complete_},
                {"turns", index_.turn_count()},
                {"programs", index_.program_count()},
-               {"positions", kept_positions_.size()}});
+               {"positions", loaded_positions_.size()}});
     return absl::OkStatus();
 }
 
@@ -109,13 +109,13 @@
     started_ = clock_.now();
     expiry_ = loop_.every(expiry_interval, [this] { expire(); });
     for (auto& [node, other] : others_) {
-        other.heard = started_;
-        ask_listing(node);
+        other.last_reply_at = started_;
+        request_listing(node);
     }
 }
 
-// Between its leaving a group and its entering one a member goes on to copy from the former: mostly
-// it comes back there.
+// Between leaving a group and entering one, a member continues to copy from its former group,
+// because it usually returns there.
 void turn_replica::set_view(const directory::storage_view& view) {
     const directory::storage_member* self = view.find(options_.self);
     if (self != nullptr) {
@@ -132,22 +132,22 @@
         }
         const bool is_new = others_.find(member.node) == others_.end();
         other_member& other = others_[member.node];
-        if (const auto kept = kept_positions_.find(member.node);
-            is_new && kept != kept_positions_.end()) {
+        if (const auto kept = loaded_positions_.find(member.node);
+            is_new && kept != loaded_positions_.end()) {
             other.disk = kept->second.disk;
             other.taken = kept->second.taken;
         }
         const bool begins_to_retire = member.retiring && !other.member.retiring;
         other.member = member;
         if (is_new && running_) {
-            other.heard = clock_.now();
+            other.last_reply_at = clock_.now();
         }
-        // One that retires waits for this listing, and the operator waits for the one that retires.
+        // A retiring member cannot leave before this listing, and the operator waits for it.
         if (running_ && (is_new || begins_to_retire)) {
-            ask_listing(member.node);
+            request_listing(member.node);
         }
     }
-    note_voters(self != nullptr && !self->retiring);
+    update_group_voters(self != nullptr && !self->retiring);
     check_complete();
 }
 
@@ -164,66 +164,67 @@
         ++generation_;
         index_ = turn_index(options_.index);
         complete_ = false;
-        // Never the same as before, so that nobody takes a position on the old contents as valid.
+        // The id must change so that no member treats its position in the old contents as valid.
         disk_ = disk_id(disk_.value() + "+");
         others_.clear();
         listed_by_.clear();
-        kept_positions_.clear();
-        written_positions_.clear();
+        loaded_positions_.clear();
+        persisted_positions_.clear();
         known_view_ = {};
-        kept_view_ = {};
+        persisted_view_ = {};
         voter_since_ = 0;
-        settlement_.forget();
+        settlement_.reset();
         change.emptied_for = group_entry{.group = group, .disk = disk_};
     }
     group_ = group;
     entering_ = true;
-    write_entry(std::move(change));
+    persist_group(std::move(change));
 }
 
-// Until the disk knows its group a restart would take what it holds for another group's, so nothing
-// is confirmed before.
-void turn_replica::write_entry(store_change change) {
+// Until the group is persisted, a restart would attribute the data to another group, so nothing is
+// confirmed before.
+void turn_replica::persist_group(store_change change) {
     store_.write(change, [this, alive = alive_, generation = generation_,
                           change](const absl::Status& status) {
         if (!*alive || generation != generation_) {
             return;
         }
-        note_write(status);
+        record_write_result(status);
         if (status.ok()) {
             entering_ = false;
             return;
         }
-        entry_retry_ = loop_.after(options_.write_retry, [this, change] { write_entry(change); });
+        group_retry_ = loop_.after(options_.write_retry, [this, change] { persist_group(change); });
     });
 }
 
 dispatch::load_totals turn_replica::totals_for(const dispatch::load_report& report) {
-    return report.wants_totals ? board_.totals_without(report.node, clock_.now())
+    return report.wants_totals ? load_table_.totals_without(report.node, clock_.now())
                                : dispatch::load_totals{};
 }
 
-void turn_replica::reserve(const reserve_request& request, responder answer) {
-    board_.take(request.load, clock_.now());
-    if (refuses(request.view)) {
-        answer->finish(wire::encode(reserve_reply{.newer = newer_view()}));
+void turn_replica::reserve(const reserve_request& request, responder_ptr responder) {
+    load_table_.take(request.load, clock_.now());
+    if (rejects(request.view)) {
+        responder->finish(wire::encode(reserve_reply{.newer = newer_view()}));
         return;
     }
-    if (!takes_writes()) {
-        answer->fail(refused(refusing_ ? "member_retiring" : "member_entering_group"));
+    if (!accepts_writes()) {
+        responder->fail(rejection(rejects_writes_ ? "member_retiring" : "member_entering_group"));
         return;
     }
     store_new({}, {request.wanted},
-              [this, request, answer = std::move(answer)](const absl::Status& status) {
+              [this, request, responder = std::move(responder)](const absl::Status& status) {
                   if (!status.ok()) {
-                      answer->fail(status);
+                      responder->fail(status);
                       return;
                   }
-                  answer_reserve(request, answer);
+                  reply_to_reserve(request, responder);
               });
 }
 
-void turn_replica::answer_reserve(const reserve_request& request, const responder& answer) {
+void turn_replica::reply_to_reserve(const reserve_request& request,
+                                    const responder_ptr& responder) {
     reserve_reply reply{.is_complete = complete_,
                         .reservations = index_.reservations(request.wanted.program)};
     if (request.wants_chain && !request.previous.value().empty()) {
@@ -232,7 +233,7 @@
         reply.chain_text = text_of(chain);
     }
     reply.load = totals_for(request.load);
-    answer->finish(wire::encode(reply));
+    responder->finish(wire::encode(reply));
 }
 
 chain_result turn_replica::read_chain(const turn_id& last,
@@ -252,7 +253,7 @@
     return chain_result::found;
 }
 
-void turn_replica::read(const read_request& request, const responder& answer) {
+void turn_replica::read(const read_request& request, const responder_ptr& responder) {
     read_reply reply{.is_complete = complete_};
     std::vector<turn_record> chain;
     reply.chain = read_chain(request.turn, chain);
@@ -261,38 +262,38 @@
     } else {
         reply.chain_text = text_of(chain);
     }
-    if (reply.chain != chain_result::found && refuses(request.view)) {
+    if (reply.chain != chain_result::found && rejects(request.view)) {
         reply.newer = newer_view();
     }
-    answer->finish(wire::encode(reply));
+    responder->finish(wire::encode(reply));
 }
 
-void turn_replica::usage(const usage_request& request, const responder& answer) {
-    if (refuses(request.view)) {
-        answer->finish(wire::encode(usage_reply{.newer = newer_view()}));
+void turn_replica::usage(const usage_request& request, const responder_ptr& responder) {
+    if (rejects(request.view)) {
+        responder->finish(wire::encode(usage_reply{.newer = newer_view()}));
         return;
     }
-    answer->finish(wire::encode(usage_reply{.is_complete = complete_,
-                                            .reservations = index_.reservations(request.program)}));
+    responder->finish(wire::encode(usage_reply{
+        .is_complete = complete_, .reservations = index_.reservations(request.program)}));
 }
 
-void turn_replica::finish(finish_request request, responder answer) {
-    board_.take(request.load, clock_.now());
-    if (refuses(request.view)) {
-        answer->finish(wire::encode(finish_reply{.newer = newer_view()}));
+void turn_replica::finish(finish_request request, responder_ptr responder) {
+    load_table_.take(request.load, clock_.now());
+    if (rejects(request.view)) {
+        responder->finish(wire::encode(finish_reply{.newer = newer_view()}));
         return;
     }
-    if (!takes_writes()) {
-        answer->fail(refused(refusing_ ? "member_retiring" : "member_entering_group"));
+    if (!accepts_writes()) {
+        responder->fail(rejection(rejects_writes_ ? "member_retiring" : "member_entering_group"));
         return;
     }
     store_new(std::move(request.records), std::move(request.settled),
-              [this, answer = std::move(answer)](const absl::Status& status) {
+              [this, responder = std::move(responder)](const absl::Status& status) {
                   if (!status.ok()) {
-                      answer->fail(status);
+                      responder->fail(status);
                       return;
                   }
-                  answer->finish(wire::encode(finish_reply{.is_complete = complete_}));
+                  responder->finish(wire::encode(finish_reply{.is_complete = complete_}));
               });
 }
 
@@ -307,7 +308,7 @@
         }
     }
     for (reservation& value : reservations) {
-        if (index_.is_news(value)) {
+        if (index_.adds_information(value)) {
             change.reservations.push_back({index_.next_number(), stored_at, std::move(value)});
         }
     }
@@ -315,7 +316,7 @@
         done(absl::OkStatus());
         return;
     }
-    // The index takes the change without the turns' texts.
+    // The index receives the change without the texts of the turns.
     store_change indexed;
     indexed.reservations = change.reservations;
     for (const stored_turn& turn : change.turns) {
@@ -337,14 +338,14 @@
                      }
                      --pending_writes_;
                      if (generation != generation_) {
-                         // Written before the data of that group went.
-                         done(refused("member_left_group"));
+                         // The write began before the data of that group was deleted.
+                         done(rejection("member_left_group"));
                          return;
                      }
                      if (status.ok()) {
                          apply(indexed);
                      }
-                     note_write(status);
+                     record_write_result(status);
                      done(status);
                  });
 }
@@ -359,7 +360,7 @@
     }
 }
 
-void turn_replica::note_write(const absl::Status& status) {
+void turn_replica::record_write_result(const absl::Status& status) {
     if (write_failed_ == !status.ok()) {
         return;
     }
@@ -371,25 +372,25 @@
     }
 }
 
-void turn_replica::list(const list_request& request, const responder& answer) {
+void turn_replica::list(const list_request& request, const responder_ptr& responder) {
     const change_number after = request.disk == disk_ ? request.after : change_number();
-    listed_by_[request.asker] = {request.disk, after};
-    settlement_.note_held(request.asker, after);
+    listed_by_[request.requester] = {request.disk, after};
+    settlement_.record_stored(request.requester, after);
     advance_settlement();
     index_listing listing = index_.list(after, options_.listed_changes);
-    answer->finish(wire::encode(list_reply{.disk = disk_,
-                                           .is_complete = complete_,
-                                           .turns = std::move(listing.turns),
-                                           .reservations = std::move(listing.reservations),
-                                           .through = listing.through,
-                                           .more = listing.more,
-                                           .view = told_view()}));
+    responder->finish(wire::encode(list_reply{.disk = disk_,
+                                              .is_complete = complete_,
+                                              .turns = std::move(listing.turns),
+                                              .reservations = std::move(listing.reservations),
+                                              .through = listing.through,
+                                              .more = listing.more,
+                                              .view = persisted_view()}));
     if (on_listed_) {
         on_listed_();
     }
 }
 
-void turn_replica::fetch(const fetch_request& request, const responder& answer) {
+void turn_replica::fetch(const fetch_request& request, const responder_ptr& responder) {
     fetch_reply reply;
     for (const turn_id& turn : request.turns) {
         auto record = store_.read(turn);
@@ -397,7 +398,7 @@
             reply.records.push_back(*std::move(record));
         }
     }
-    answer->finish(wire::encode(reply));
+    responder->finish(wire::encode(reply));
 }
 
 void turn_replica::expire() {
--- a/src/pearbarrow/turns/turn_store.h
+++ b/src/pearbarrow/turns/turn_store.h
@@ -1,4 +1,4 @@
-/// Where a storage member keeps turns and reservations for good.
+/// Persistent store of the turns and reservations of a storage member.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
 
 namespace pearbarrow::turns {
 
-/// A turn with its place in the member's log.
+/// A turn with its position in the member's log.
 struct stored_turn {
     change_number number;
-    /// Time of day when it was stored, in microseconds since the Unix epoch.
+    /// Wall-clock time of storing, in microseconds since the Unix epoch.
     std::int64_t stored_at = 0;
     turn_record record;
 
@@ -34,10 +34,10 @@
     MSGPACK_DEFINE(number, stored_at, value);
 };
 
-/// How far another member's changes are stored here.
+/// Position up to which another member's changes are stored here.
 struct peer_position {
     base::node_id node;
-    /// The other member's disk, to which `taken` belongs.
+    /// Disk of the other member that `taken` refers to.
     disk_id disk;
     change_number taken;
 
@@ -45,52 +45,53 @@
     MSGPACK_DEFINE(node, disk, taken);
 };
 
-/// What the store holds belongs to another replica group: all turns and reservations go, and the
-/// disk counts as a new one.
+/// Assigns the store to another replica group: all turns and reservations are deleted, and the disk
+/// gets a new id.
 struct group_entry {
     std::uint32_t group = 0;
     disk_id disk;
 };
 
-/// An entry of the directory, under a key of its keeper's own.
+/// An entry of the directory, stored under the directory's own key.
 struct directory_entry {
     std::string key;
-    /// Empty: the entry is taken out.
+    /// Empty to remove the entry.
     std::string value;
 };
 
 /// One atomic change of the store.
 struct store_change {
-    /// Before everything else of the change.
+    /// Applied before all other parts of the change.
     std::optional<group_entry> emptied_for;
     /// Sets the replica group that the contents belong to.
     std::optional<std::uint32_t> group;
     std::vector<stored_turn> turns;
     std::vector<stored_reservation> reservations;
-    /// Keys of what has expired.
+    /// Keys of expired entries.
     std::vector<turn_id> dropped_turns;
     std::vector<reservation> dropped_reservations;
-    /// Sets whether the member knows all that it has ever confirmed.
+    /// Sets whether the member has everything that it has ever confirmed.
     std::optional<bool> complete;
-    /// Replaces the newest voters of the group that the member knows.
+    /// Replaces the newest known voters of the group.
     std::optional<view_stamp> view;
-    /// Replaces what is kept of the directory but for its entries.
+    /// Replaces the stored directory state except its entries.
     std::optional<std::string> directory;
-    /// Entries of the directory that have changed.
+    /// Directory entries that have changed.
     std::vector<directory_entry> directory_entries;
-    /// Replaces what is kept of the other members' positions.
+    /// Replaces the stored positions of the other members.
     std::optional<std::vector<peer_position>> positions;
-    /// The largest number given so far; told where changes are dropped, so that none is given anew.
+    /// The largest number assigned so far. It is set when changes are dropped, so that no number is
+    /// assigned twice.
     std::optional<change_number> last_number;
 };
 
-/// What is read at the start; the texts of turns stay in the store.
+/// Contents read at startup; the texts of turns stay in the store.
 struct store_contents {
     disk_id disk;
     bool complete = false;
-    /// The replica group that the contents belong to; none: the member has not entered one.
+    /// The replica group that the contents belong to; empty if the member has not entered one.
     std::optional<std::uint32_t> group;
-    /// Without `input` and `output`.
+    /// Stored turns, with `input` and `output` empty.
     std::vector<stored_turn> turns;
     std::vector<stored_reservation> reservations;
     std::vector<peer_position> positions;
@@ -103,33 +104,33 @@
   public:
     virtual ~turn_store() = default;
     virtual absl::StatusOr<store_contents> load() = 0;
-    /// `done` runs on the event loop once the change would survive a loss of power, or failed as a
-    /// whole. Changes take effect in the order of the calls. After a failure, as on a full disk,
-    /// writes fail until the store could be opened again.
+    /// Runs `done` on the event loop once the change is durable across a power loss, or has failed
+    /// as a whole. Changes take effect in the order of the calls. After a failure, such as a full
+    /// disk, writes fail until the store has been reopened.
     virtual void write(store_change change, std::function<void(absl::Status)> done) = 0;
-    /// What is kept of the directory; empty when nothing is.
+    /// Returns the stored directory state; empty if there is none.
     virtual std::string read_directory() const = 0;
-    /// The entries that are kept of it, by key.
+    /// Returns the stored directory entries, ordered by key.
     virtual std::vector<directory_entry> read_directory_entries() const { return {}; }
-    /// The turn with its texts; kNotFound when it isn't there.
+    /// Returns the turn with its texts, or kNotFound if it does not exist.
     virtual absl::StatusOr<turn_record> read(const turn_id& turn) const = 0;
 };
 
 struct turn_store_options {
     std::string folder;
-    /// Identity and completeness of a disk that is empty.
+    /// Id and completeness that an empty disk gets.
     disk_id new_disk;
     bool new_disk_is_complete = false;
     std::size_t write_buffer_bytes = std::size_t{8} * 1024 * 1024;
     std::size_t block_cache_bytes = std::size_t{4} * 1024 * 1024;
-    /// Paces the attempts to open a database again that a failed write has stopped.
+    /// Clock that paces attempts to reopen a database after a failed write.
     const base::clock* clock = nullptr;
-    /// Runs a task on the event loop, from any thread.
+    /// Posts a task to the event loop; callable from any thread.
     std::function<void(std::function<void()>)> post;
 };
 
-/// Opens the store in RocksDB, with one thread that writes and syncs whatever has gathered.
-/// kDataLoss: what is on the disk is damaged beyond what a loss of power explains.
+/// Opens the RocksDB store. One thread writes and syncs all pending changes as a batch. Returns
+/// kDataLoss if the disk is damaged beyond the effects of a power loss.
 absl::StatusOr<std::unique_ptr<turn_store>> open_rocksdb_turn_store(turn_store_options options);
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_store_layout.h
+++ b/src/pearbarrow/turns/turn_store_layout.h
@@ -1,4 +1,5 @@
-/// How turns, reservations and the directory lie in the database: keys, and what a change writes.
+/// Database layout of turns, reservations and the directory: keys, and the batch that a change
+/// writes.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,10 @@
 
 namespace pearbarrow::turns {
 
-// Keys: one letter, then the name. `i` identity of the disk, `c` its completeness, `t` a turn,
-// `r` a reservation (program, NUL, turn), `d` the directory, `e` an entry of it, `p` the other
-// members' positions, `n` the largest number of a change that was dropped, or a larger one, `g` the
-// replica group, `v` the newest voters of it.
+// Each key is one letter followed by a name. `i`: id of the disk. `c`: its completeness. `t`: a
+// turn. `r`: a reservation (program, NUL, turn). `d`: the directory. `e`: an entry of the
+// directory. `p`: positions of the other members. `n`: an upper bound of the numbers of dropped
+// changes. `g`: the replica group. `v`: the newest voters of the group.
 inline constexpr char identity_key[] = "i";
 inline constexpr char complete_key[] = "c";
 inline constexpr char directory_key[] = "d";
@@ -23,7 +24,7 @@
 inline constexpr char last_number_key[] = "n";
 inline constexpr char group_key[] = "g";
 inline constexpr char view_key[] = "v";
-// Ranges of the keys above, each up to but without the second.
+// Half-open ranges of the keys above.
 inline constexpr char directory_entries_begin[] = "e";
 inline constexpr char directory_entries_end[] = "f";
 inline constexpr char reservations_begin[] = "r";
@@ -33,8 +34,9 @@
 
 std::string turn_key(const turn_id& turn);
 
-/// A stored turn with its texts where they lie. A start reads every turn that is kept, and needs no
-/// text: 17,000 turns of 5 KB took 0.22 s of a core with copies, 0.15 s without.
+/// View of a stored turn that refers to its texts without copying them. Startup reads every stored
+/// turn but needs no text: 17,000 turns of 5 KB took 0.22 s of CPU time with copies and 0.15 s
+/// without.
 struct turn_in_place {
     struct record_in_place {
         std::string_view turn;
@@ -55,7 +57,7 @@
     MSGPACK_DEFINE(number, stored_at, record);
 };
 
-/// Everything that a change writes, in its order.
+/// Appends all operations of a change to the batch, in order.
 void add_to_batch(rocksdb::WriteBatch& batch, const store_change& change);
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_types.h
+++ b/src/pearbarrow/turns/turn_types.h
@@ -1,8 +1,8 @@
-/// Turns of agent programs as the storage members keep them, and the messages about them.
+/// Turns of agent programs as stored by the storage members, and the messages about them.
 ///
-/// A turn is named by the id of the request that made it and never changes, so copies on several
-/// members need no order among them: a copy found anywhere is the truth. A reservation only ever
-/// goes from reserved to settled, so two copies of it merge without a conflict.
+/// A turn is identified by the id of the request that created it and is immutable, so copies on
+/// several members need no ordering: any copy is valid. A reservation only changes from reserved to
+/// settled, so two copies merge without conflicts.
 #pragma once
 
 #include <cstdint>
@@ -17,68 +17,68 @@
 
 namespace pearbarrow::turns {
 
-/// The request id of the turn.
+/// Id of the request that created the turn.
 using turn_id = base::strong_id<struct turn_tag, std::string>;
-/// Position of a change in one member's own log; 0: before the first.
+/// Position of a change in one member's log; 0 is before the first change.
 using change_number = base::strong_id<struct change_tag, std::uint64_t>;
-/// Drawn when a member's disk is first written; a lost disk comes back with another.
+/// Random id assigned when a member's disk is first written. A replaced disk has another id.
 using disk_id = base::strong_id<struct disk_tag, std::string>;
 
-/// Which voters of a replica group somebody counts on (`view_stamps.h`).
+/// Identifies the voters of a replica group that a sender relies on (`view_stamps.h`).
 struct view_stamp {
-    /// Revision of the storage view; 0: not told, as by older nodes.
+    /// Revision of the storage view; 0 if unknown, as in messages of older nodes.
     std::uint64_t revision = 0;
-    /// Digest of the voters' names.
+    /// Digest of the names of the voters.
     std::uint64_t voters = 0;
 
     bool operator==(const view_stamp&) const = default;
     MSGPACK_DEFINE(revision, voters);
 };
 
-/// What was said in one turn.
+/// Input and output of one turn.
 struct turn_record {
     turn_id turn;
     base::program_id program;
-    /// The turn that this one goes on from; empty: none.
+    /// The turn that this one continues; empty if there is none.
     turn_id previous;
     std::string input;
     std::string output;
-    /// How long the turn is kept from its storing on. Seconds.
+    /// Retention in seconds from the time of storing.
     double retention_seconds = 0;
 
     MSGPACK_DEFINE(turn, program, previous, input, output, retention_seconds);
 };
 
-/// Tokens that a turn may have cost.
+/// Tokens reserved for a turn, or its actual cost once settled.
 struct reservation {
     base::program_id program;
     turn_id turn;
-    /// The most that the turn can cost; once settled, what it did cost.
+    /// Maximum cost of the turn or, once settled, its actual cost.
     std::uint64_t tokens = 0;
     bool settled = false;
-    /// Once settled: the back end that ran the turn, whose memory may hold its prompt; 0: none. A
-    /// hint for the next turn; older nodes leave it out.
+    /// Back end that executed the settled turn and may still cache its prompt; 0 if none. A hint
+    /// for the next turn; older nodes omit it.
     dispatch::backend_key backend = 0;
 
     MSGPACK_DEFINE(program, turn, tokens, settled, backend);
 };
 
-/// Whether a chain of turns could be read at a member.
+/// Result of reading a chain of turns at a member.
 enum class chain_result : std::uint8_t {
-    not_asked,
+    not_requested,
     found,
-    /// Some turn of the chain is not at this member.
+    /// Some turn of the chain is not stored at this member.
     absent,
-    /// The turns are here, but the disk does not give them now.
+    /// The turns are indexed, but currently cannot be read from disk.
     unreadable,
 };
 
-/// Reserves tokens for a turn, and reads what it goes on from.
+/// Reserves tokens for a turn and reads the chain that it continues.
 struct reserve_request {
     reservation wanted;
     turn_id previous;
     bool wants_chain = false;
-    /// What the asking node has under way at the back ends.
+    /// The requesting node's requests in flight at the back ends.
     dispatch::load_report load;
     view_stamp view;
 
@@ -86,15 +86,17 @@
 };
 
 struct reserve_reply {
-    /// The member knows all that it has ever confirmed; a member with a new disk does not yet.
+    /// Whether the member knows everything that it has ever confirmed. A member with a new disk
+    /// does not until it has caught up.
     bool is_complete = false;
-    /// The program's reservations at this member, the asked one among them.
+    /// The program's reservations at this member, including the requested one.
     std::vector<reservation> reservations;
-    chain_result chain = chain_result::not_asked;
+    chain_result chain = chain_result::not_requested;
     std::string chain_text;
     dispatch::load_totals load;
-    /// Nothing was done: the asker counts on voters of an older view. The group as the member knows
-    /// it; without members where it knows only that there is a newer one.
+    /// Set if the request was rejected because it relies on voters of an older view. Contains the
+    /// group's view as known to the member; without members if the member knows only that a newer
+    /// view exists.
     std::optional<directory::storage_view> newer;
 
     MSGPACK_DEFINE(is_complete, reservations, chain, chain_text, load, newer);
@@ -102,7 +104,7 @@
 
 struct read_request {
     turn_id turn;
-    /// Asks for the turns of the chain in place of their text.
+    /// Requests the turns of the chain instead of their concatenated text.
     bool wants_records = false;
     view_stamp view;
 
@@ -113,9 +115,9 @@
     bool is_complete = false;
     chain_result chain = chain_result::absent;
     std::string chain_text;
-    /// The chain, oldest first, where the question asked for it.
+    /// The turns of the chain, oldest first, if the request wants records.
     std::vector<turn_record> records;
-    /// As in `reserve_reply`; a chain that is here is given all the same.
+    /// As in `reserve_reply`; a chain that was found is returned nevertheless.
     std::optional<directory::storage_view> newer;
 
     MSGPACK_DEFINE(is_complete, chain, chain_text, records, newer);
@@ -142,7 +144,7 @@
 struct finish_request {
     std::vector<reservation> settled;
     std::vector<turn_record> records;
-    /// Asks for no totals: the answer has none.
+    /// Load report of the sender; it requests no totals, so the reply contains none.
     dispatch::load_report load;
     view_stamp view;
 
@@ -157,14 +159,14 @@
     MSGPACK_DEFINE(is_complete, newer);
 };
 
-/// Asks another member for what it has stored after a point.
+/// Requests the changes that another member has stored after a position.
 struct list_request {
-    base::node_id asker;
-    /// The disk that `after` belongs to; on another disk the listing begins at 0.
+    base::node_id requester;
+    /// The disk that `after` refers to; on another disk the listing begins at 0.
     disk_id disk;
     change_number after;
 
-    MSGPACK_DEFINE(asker, disk, after);
+    MSGPACK_DEFINE(requester, disk, after);
 };
 
 struct list_reply {
@@ -172,11 +174,11 @@
     bool is_complete = false;
     std::vector<turn_id> turns;
     std::vector<reservation> reservations;
-    /// Ask again from here.
+    /// Position for the next request.
     change_number through;
     bool more = false;
-    /// The newest voters that the answering member knows and has on its disk: from here on it
-    /// confirms nothing to whoever counts on older ones.
+    /// The newest voters that the replying member has persisted. From now on it confirms nothing to
+    /// senders that rely on older ones.
     view_stamp view;
 
     MSGPACK_DEFINE(disk, is_complete, turns, reservations, through, more, view);
@@ -194,22 +196,23 @@
     MSGPACK_DEFINE(records);
 };
 
-/// Asks a member of another replica group what nodes have reported of their load.
+/// Requests the load reports that a member of another replica group has received from nodes.
 struct load_pull_request {
-    /// The answering process's life that `after` belongs to; of another life it begins at 0.
-    std::uint64_t life = 0;
+    /// Incarnation of the replying process that `after` refers to; for another incarnation the
+    /// reply begins at 0.
+    std::uint64_t incarnation = 0;
     std::uint64_t after = 0;
 
-    MSGPACK_DEFINE(life, after);
+    MSGPACK_DEFINE(incarnation, after);
 };
 
 struct load_pull_reply {
-    std::uint64_t life = 0;
-    /// Ask again from here.
+    std::uint64_t incarnation = 0;
+    /// Position for the next request.
     std::uint64_t through = 0;
     std::vector<dispatch::load_report> reports;
 
-    MSGPACK_DEFINE(life, through, reports);
+    MSGPACK_DEFINE(incarnation, through, reports);
 };
 
 }  // namespace pearbarrow::turns
