--- a/src/pearbarrow/turns/view_stamps.h
+++ b/src/pearbarrow/turns/view_stamps.h
@@ -1,15 +1,16 @@
-/// Keeps a write from being confirmed by voters of a replica group that have been replaced since.
+/// Prevents writes from being confirmed by voters of a replica group that have since been replaced.
 ///
-/// Pure: what was heard is given. A group's voters change one at a time, so majorities of two views
-/// that follow each other meet; those of a view and the next but one need not. Three rules close
-/// the gap (proof in docs/invariants.md):
+/// Performs no I/O: received information is passed in. The voters of a group change one at a time,
+/// so the majorities of two consecutive views intersect; those of views further apart may not.
+/// Three rules close the gap (proof in docs/invariants.md):
 ///
-/// 1. Every request names the voters that its sender counts on. A member that knows newer ones
-///    refuses it, and says which.
-/// 2. A voter leaves only once the present voters are settled: a majority of them refuses whoever
-///    counts on earlier ones, and all that was confirmed to such is on a majority of the present.
-/// 3. A voter that comes, or comes back, counts as complete only once it has copied from members
-///    that know it as a voter.
+/// 1. Every request identifies the voters that its sender relies on. A member that knows newer
+///    voters rejects it and returns them.
+/// 2. A voter leaves only once the current voters are settled: a majority of them rejects senders
+///    that rely on earlier voters, and everything confirmed to such senders is stored on a majority
+///    of the current voters.
+/// 3. A voter that joins or rejoins counts as complete only once it has copied from members that
+///    know it as a voter.
 #pragma once
 
 #include <cstddef>
@@ -24,60 +25,64 @@
 
 namespace pearbarrow::turns {
 
-/// Of a view of one group.
+/// Returns the stamp of the view of one group.
 view_stamp stamp_of(const directory::storage_view& group);
 
-/// Whether `asked` counts on voters that `known` has replaced.
-bool is_outdated(const view_stamp& asked, const view_stamp& known);
+/// Returns whether `sender` relies on voters that `known` has replaced.
+bool is_outdated(const view_stamp& sender, const view_stamp& known);
 
-/// Complete voters that one which is not complete has to copy from, of `voters` with itself: no
-/// confirmed write is on none of them.
+/// Returns from how many complete voters an incomplete voter must copy so that every confirmed
+/// write is on at least one of them. `voters` includes the incomplete one.
 std::size_t sources_needed(std::size_t voters);
-/// Whether who answers with `known` refuses whoever doesn't know voters since `revision`.
+/// Returns whether a member that reports `known` rejects senders that do not know the voters since
+/// `revision`.
 bool knows_since(const view_stamp& known, std::uint64_t revision);
 
-/// What one listing has shown of the member that answered it.
+/// State of another member as shown by its reply to a listing.
 struct listed_state {
-    /// Newest voters that it knows for good.
+    /// Newest voters that the member has persisted.
     view_stamp view;
     bool is_complete = false;
-    /// Everything that it had is stored here.
-    bool is_level = false;
+    /// Everything that the member had is stored here.
+    bool is_caught_up = false;
 };
 
-/// Whether the present voters of a group are settled, as one of them knows it. Two steps: all that
-/// a majority of complete voters holds is copied here, each listed since it knew the present
-/// voters; then a majority has stored all that is here.
+/// Tracks whether the current voters of a group are settled, from the perspective of one of them.
+/// This takes two steps: first, everything that a majority of complete voters holds is copied here,
+/// each listed after it learned the current voters; then, a majority has stored everything that is
+/// here.
 class view_settlement {
   public:
-    /// Begins anew where the voters are others than before. `self` is one of them.
+    /// Starts over if the voters differ from the earlier ones. `self` is one of them.
     void set_voters(const directory::storage_view& group, const base::node_id& self);
-    /// Nothing is known any more of what others hold, or this member is no voter.
-    void forget();
+    /// Discards all state: the state of the others is no longer known, or this member is not a
+    /// voter.
+    void reset();
 
-    /// Everything of the listing is stored here.
-    void note_listed(const base::node_id& other, const listed_state& state);
-    /// `other` has stored this member's changes through that one.
-    void note_held(const base::node_id& other, change_number through);
-    /// Takes the steps that can be taken. `last`: this member's newest change.
+    /// Records a listing of `other` whose entries are all stored here.
+    void record_listing(const base::node_id& other, const listed_state& state);
+    /// Records that `other` has stored this member's changes up to `through`.
+    void record_stored(const base::node_id& other, change_number through);
+    /// Performs the steps that have become possible. `last` is this member's newest change.
     void advance(bool self_is_complete, change_number last);
 
     bool is_settled() const { return this->settled; }
-    /// Since which revision the present voters are known; 0: none are.
-    std::uint64_t since() const { return this->present.revision; }
+    /// Returns the revision since which the current voters are known; 0 if there are none.
+    std::uint64_t since() const { return this->current.revision; }
 
   private:
     std::size_t majority() const { return this->voters.size() / 2 + 1; }
 
-    view_stamp present;
-    /// Without this member.
+    view_stamp current;
+    /// The voters except this member.
     std::set<base::node_id> others;
     std::set<base::node_id> voters;
-    /// Complete ones that refuse whoever counts on earlier voters, and are copied here.
-    std::set<base::node_id> copied;
-    std::map<base::node_id, change_number> held;
-    /// This member's newest change when a majority was copied.
-    std::optional<change_number> copied_by;
+    /// Complete voters that reject senders relying on earlier voters and whose changes are all
+    /// stored here.
+    std::set<base::node_id> copied_from;
+    std::map<base::node_id, change_number> stored_through;
+    /// This member's newest change at the time when a majority had been copied.
+    std::optional<change_number> copied_through;
     bool settled = false;
 };
 
--- a/tests/unit/turns/board_exchange_test.cc
+++ b/tests/unit/turns/board_exchange_test.cc
@@ -14,16 +14,16 @@
 
 namespace {
 
-struct board_member {
-    board_member(net::event_loop& loop, const base::clock& clock, const std::string& name,
-                 const std::string& zone, std::uint32_t group)
+struct exchange_member {
+    exchange_member(net::event_loop& loop, const base::clock& clock, const std::string& name,
+                    const std::string& zone, std::uint32_t group)
         : clock(clock),
-          board({}, clock.now()),
+          load_table({}, clock.now()),
           rpc(net::make_peer_rpc(
               loop,
               {.self = base::node_id(name), .cluster = "test", .listen = net::testing::loopback})),
           exchange(std::make_unique<board_exchange>(
-              loop, *rpc, clock, board,
+              loop, *rpc, clock, load_table,
               board_exchange_options{.self = base::node_id(name),
                                      .zone = zone,
                                      .life = base::stable_hash(name),
@@ -33,16 +33,17 @@
         cr_assert(rpc->start().ok());
         entry.address = rpc->local_endpoint();
     }
-    std::uint32_t requests_told(const std::string& asker = "nobody") {
+    std::uint32_t known_requests(const std::string& requester = "nobody") {
         std::uint32_t sum = 0;
-        for (const auto& load : board.totals_without(base::node_id(asker), clock.now()).loads) {
+        for (const auto& load :
+             load_table.totals_without(base::node_id(requester), clock.now()).loads) {
             sum += load.requests;
         }
         return sum;
     }
 
     const base::clock& clock;
-    dispatch::load_board board;
+    dispatch::load_board load_table;
     std::unique_ptr<net::peer_rpc> rpc;
     std::unique_ptr<board_exchange> exchange;
     directory::storage_member entry;
@@ -56,9 +57,9 @@
             .loads = {{.backend = 7, .requests = requests}}};
 }
 
-/// Three groups of two members, one in each of two zones.
-struct board_fixture {
-    board_fixture() {
+/// Three groups of two members, one member of each group in each of two zones.
+struct exchange_fixture {
+    exchange_fixture() {
         for (std::uint32_t group = 0; group < 3; ++group) {
             for (const char* zone : {"a", "b"}) {
                 members.emplace_back(loop, clock, std::string(zone) + std::to_string(group), zone,
@@ -72,64 +73,64 @@
             member.exchange->set_view(view);
         }
     }
-    board_member& at(std::size_t index) { return *std::next(members.begin(), index); }
+    exchange_member& at(std::size_t index) { return *std::next(members.begin(), index); }
 
     net::event_loop loop;
     base::system_clock_source clock;
-    std::list<board_member> members;
+    std::list<exchange_member> members;
     directory::storage_view view;
 };
 
 }  // namespace
 
-Test(board_exchange, a_report_to_one_group_reaches_the_members_of_all) {
-    board_fixture fixture;
+Test(board_exchange, report_to_one_group_reaches_members_of_all_groups) {
+    exchange_fixture fixture;
     for (std::size_t index : {0, 1}) {
-        fixture.at(index).board.take(report_of("edge", 1, 3), fixture.clock.now());
+        fixture.at(index).load_table.take(report_of("edge", 1, 3), fixture.clock.now());
     }
     cr_assert(run_until(fixture.loop, [&] {
         return std::all_of(fixture.members.begin(), fixture.members.end(),
-                           [](auto& member) { return member.requests_told() == 3; });
+                           [](auto& member) { return member.known_requests() == 3; });
     }));
-    cr_assert(fixture.at(5).requests_told("edge") == 0, "nobody is told of its own load");
+    cr_assert(fixture.at(5).known_requests("edge") == 0, "totals exclude the requesting node");
 }
 
-Test(board_exchange, a_newer_report_replaces_an_older_one_whichever_way_it_came) {
-    board_fixture fixture;
+Test(board_exchange, newer_report_replaces_older_one_from_either_path) {
+    exchange_fixture fixture;
     auto& receiver = fixture.at(4);
-    fixture.at(0).board.take(report_of("edge", 1, 3), fixture.clock.now());
-    cr_assert(run_until(fixture.loop, [&] { return receiver.requests_told() == 3; }));
-    receiver.board.take(report_of("edge", 2, 5), fixture.clock.now());
-    cr_assert(receiver.requests_told() == 5);
-    // An older one that comes late.
-    receiver.board.take_passed_on(report_of("edge", 1, 3), fixture.clock.now());
-    cr_assert(receiver.requests_told() == 5);
+    fixture.at(0).load_table.take(report_of("edge", 1, 3), fixture.clock.now());
+    cr_assert(run_until(fixture.loop, [&] { return receiver.known_requests() == 3; }));
+    receiver.load_table.take(report_of("edge", 2, 5), fixture.clock.now());
+    cr_assert(receiver.known_requests() == 5);
+    // An older report that arrives late is ignored.
+    receiver.load_table.take_passed_on(report_of("edge", 1, 3), fixture.clock.now());
+    cr_assert(receiver.known_requests() == 5);
 }
 
-Test(board_exchange, what_was_passed_on_is_not_passed_on_again) {
-    board_fixture fixture;
-    fixture.at(0).board.take_passed_on(report_of("edge", 1, 3), fixture.clock.now());
+Test(board_exchange, passed_on_report_is_not_passed_on_again) {
+    exchange_fixture fixture;
+    fixture.at(0).load_table.take_passed_on(report_of("edge", 1, 3), fixture.clock.now());
     run_for(fixture.loop, base::milliseconds{300});
-    cr_assert(fixture.at(2).requests_told() == 0);
-    cr_assert(fixture.at(0).board.last_report() == 0);
+    cr_assert(fixture.at(2).known_requests() == 0);
+    cr_assert(fixture.at(0).load_table.last_report() == 0);
 }
 
-Test(board_exchange, a_source_that_goes_is_replaced_by_another_of_its_group) {
-    board_fixture fixture;
+Test(board_exchange, lost_source_is_replaced_by_another_member_of_its_group) {
+    exchange_fixture fixture;
     auto& receiver = fixture.at(4);
     cr_assert(run_until(fixture.loop, [&] { return receiver.exchange->connected_groups() == 2; }));
-    // The one in its own zone.
+    // Stops the source in the receiver's own zone.
     fixture.at(0).exchange.reset();
     fixture.at(0).rpc.reset();
     cr_assert(run_until(fixture.loop, [&] {
-        fixture.at(1).board.take(report_of("edge", fixture.at(1).board.last_report() + 1, 3),
-                                 fixture.clock.now());
-        return receiver.requests_told() == 3;
+        fixture.at(1).load_table.take(
+            report_of("edge", fixture.at(1).load_table.last_report() + 1, 3), fixture.clock.now());
+        return receiver.known_requests() == 3;
     }));
 }
 
-Test(board_exchange, one_group_asks_nobody) {
-    board_fixture fixture;
+Test(board_exchange, single_group_polls_no_member) {
+    exchange_fixture fixture;
     for (auto& member : fixture.view.members) {
         member.group = 0;
     }
@@ -137,8 +138,8 @@
     for (auto& member : fixture.members) {
         member.exchange->set_view(fixture.view);
     }
-    fixture.at(0).board.take(report_of("edge", 1, 3), fixture.clock.now());
+    fixture.at(0).load_table.take(report_of("edge", 1, 3), fixture.clock.now());
     run_for(fixture.loop, base::milliseconds{300});
-    cr_assert(fixture.at(4).requests_told() == 0);
+    cr_assert(fixture.at(4).known_requests() == 0);
     cr_assert(fixture.at(4).exchange->connected_groups() == 0);
 }
--- a/tests/unit/turns/budget_check_test.cc
+++ b/tests/unit/turns/budget_check_test.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Test(budget_check, a_settled_entry_goes_before_a_reserved_one) {
+Test(budget_check, settled_entry_replaces_reserved_one) {
     reservation_union known;
     known.add({of("a", 50)});
     known.add({of("a", 20, true)});
@@ -26,27 +26,27 @@
     cr_assert(known.total_without(turn_id("a")) == 0);
 }
 
-Test(budget_check, far_from_the_bound_one_look_is_enough) {
+Test(budget_check, total_of_at_most_half_the_budget_needs_no_reread) {
     reservation_union known;
     known.add({of("a", 20)});
-    cr_assert(judge_first(known, of("b", 30), 100) == budget_verdict::fits);
-    cr_assert(judge_first(known, of("b", 31), 100) == budget_verdict::look_again);
-    cr_assert(judge_first(known, of("b", 81), 100) == budget_verdict::exceeded);
-    cr_assert(judge_again(known, of("b", 80), 100) == budget_verdict::fits);
-    cr_assert(judge_again(known, of("b", 81), 100) == budget_verdict::exceeded);
+    cr_assert(check_reserved(known, of("b", 30), 100) == budget_verdict::fits);
+    cr_assert(check_reserved(known, of("b", 31), 100) == budget_verdict::needs_reread);
+    cr_assert(check_reserved(known, of("b", 81), 100) == budget_verdict::exceeded);
+    cr_assert(check_reread(known, of("b", 80), 100) == budget_verdict::fits);
+    cr_assert(check_reread(known, of("b", 81), 100) == budget_verdict::exceeded);
 }
 
 namespace {
 
-/// One turn on its way through the members.
+/// State of one turn while it reserves and rereads at the members.
 struct turn_progress {
     reservation wanted;
     reservation_union known;
-    /// Members in the order in which they answer this turn.
+    /// Members in the order of their replies to this turn.
     std::vector<std::size_t> order;
     std::size_t reserved = 0;
-    std::size_t looked = 0;
-    bool looking = false;
+    std::size_t reread_replies = 0;
+    bool is_rereading = false;
     bool ended = false;
     bool runs = false;
 };
@@ -62,14 +62,14 @@
     return order;
 }
 
-/// The turn's next answer of a member.
+/// Processes the next reply of a member to the turn.
 void advance(turn_progress& turn, member_reservations& members, std::uint64_t budget) {
     const std::size_t majority = members.size() / 2 + 1;
-    if (turn.looking) {
-        turn.known.add(members[turn.order[turn.looked++]]);
-        turn.ended = turn.looked == majority;
+    if (turn.is_rereading) {
+        turn.known.add(members[turn.order[turn.reread_replies++]]);
+        turn.ended = turn.reread_replies == majority;
         turn.runs =
-            turn.ended && judge_again(turn.known, turn.wanted, budget) == budget_verdict::fits;
+            turn.ended && check_reread(turn.known, turn.wanted, budget) == budget_verdict::fits;
         return;
     }
     auto& member = members[turn.order[turn.reserved++]];
@@ -78,13 +78,13 @@
     if (turn.reserved < majority) {
         return;
     }
-    const auto verdict = judge_first(turn.known, turn.wanted, budget);
-    turn.looking = verdict == budget_verdict::look_again;
-    turn.ended = !turn.looking;
+    const auto verdict = check_reserved(turn.known, turn.wanted, budget);
+    turn.is_rereading = verdict == budget_verdict::needs_reread;
+    turn.ended = !turn.is_rereading;
     turn.runs = verdict == budget_verdict::fits;
 }
 
-/// Tokens of all turns that may run, after one random interleaving.
+/// Returns the tokens of all turns that may run after one random interleaving.
 std::uint64_t tokens_that_run(base::random_source& random, std::uint64_t budget) {
     member_reservations members(1 + random.below(5));
     std::vector<turn_progress> turns(2 + random.below(7));
@@ -109,7 +109,7 @@
 
 }  // namespace
 
-Test(budget_check, no_interleaving_of_reservations_passes_the_budget) {
+Test(budget_check, no_interleaving_of_reservations_exceeds_the_budget) {
     constexpr std::uint64_t interleavings = 50'000;
     for (std::uint64_t seed = 1; seed <= interleavings; ++seed) {
         base::random_source random(seed);
@@ -119,7 +119,7 @@
     }
 }
 
-Test(reservation_union, tells_which_back_end_ran_the_turn_before) {
+Test(reservation_union, returns_back_end_that_executed_previous_turn) {
     const auto ran = [](const std::string& turn, dispatch::backend_key backend) {
         return reservation{.program = base::program_id("p"),
                            .turn = turn_id(turn),
@@ -131,6 +131,6 @@
     cr_assert(known.backend_of(turn_id("1")) == 0);
     known.add({ran("1", 7), ran("2", 7), ran("3", 9), ran("4", 0)});
     cr_assert(known.backend_of(turn_id("3")) == 9);
-    cr_assert(known.backend_of(turn_id("4")) == 7, "not settled yet: where most ran");
+    cr_assert(known.backend_of(turn_id("4")) == 7, "not settled yet: the most frequent back end");
     cr_assert(known.backend_of(turn_id()) == 7);
 }
--- a/tests/unit/turns/counting_caller.h
+++ b/tests/unit/turns/counting_caller.h
@@ -1,4 +1,4 @@
-/// Storage members that never answer, and a count of the questions open at them.
+/// Storage members that never reply, with a count of the calls in flight.
 #pragma once
 
 #include <memory>
@@ -15,21 +15,19 @@
                                                 std::string /*payload*/,
                                                 base::milliseconds /*timeout*/,
                                                 reply_handler /*on_reply*/) override {
-        return std::make_unique<open_question>(this->open);
+        return std::make_unique<open_call>(this->open);
     }
 
-    /// Shared, so that it can be read once the caller is gone.
+    /// Shared, so that it can be read after the caller is destroyed.
     std::shared_ptr<int> open = std::make_shared<int>(0);
 
   private:
-    class open_question final : public net::peer_call_handle {
+    class open_call final : public net::peer_call_handle {
       public:
-        explicit open_question(std::shared_ptr<int> count) : count(std::move(count)) {
-            ++*this->count;
-        }
-        open_question(const open_question&) = delete;
-        open_question& operator=(const open_question&) = delete;
-        ~open_question() override { --*this->count; }
+        explicit open_call(std::shared_ptr<int> count) : count(std::move(count)) { ++*this->count; }
+        open_call(const open_call&) = delete;
+        open_call& operator=(const open_call&) = delete;
+        ~open_call() override { --*this->count; }
         void cancel() override {}
 
       private:
--- a/tests/unit/turns/loss_check_test.cc
+++ b/tests/unit/turns/loss_check_test.cc
@@ -1,4 +1,4 @@
-// Small layouts of members over zones, all of them.
+// Checks all small layouts of members over zones exhaustively.
 #include "pearbarrow/turns/loss_check.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Members by zone.
+/// Number of members in each zone.
 using layout = std::vector<std::size_t>;
 
 constexpr std::size_t most_members = 12;
@@ -41,7 +41,8 @@
     return std::accumulate(counts.begin(), counts.end(), std::size_t{0});
 }
 
-/// Every layout of up to twelve members over two to four zones, each zone with one at least.
+/// Visits every layout of up to twelve members over two to four zones with at least one member
+/// each.
 void for_each_layout(const std::function<void(const layout&)>& visit) {
     const std::function<void(layout&, std::size_t)> extend = [&](layout& counts,
                                                                  std::size_t zones) {
@@ -62,7 +63,8 @@
     }
 }
 
-/// Members left of each group once a set of zones has gone, by another way than the code's.
+/// Returns whether each group keeps a majority through the loss of any `zones` zones. Enumerates
+/// the zone sets independently of the code under test.
 bool survives_every_loss(const directory::storage_view& view, std::size_t zone_count,
                          std::size_t zones) {
     for (std::uint32_t lost = 0; lost < (1U << zone_count); ++lost) {
@@ -92,8 +94,9 @@
     return survives_every_loss(one, counts.size(), zones);
 }
 
-/// Whether some division of the members into groups bears the loss: one group of all, and each way
-/// to make two of them. Three groups and more need no look: any two that bear it, bear it as one.
+/// Returns whether some division of the members into groups survives the loss of zones. It checks
+/// one group of all members and every division into two. Three or more groups need no check: any
+/// two groups that survive also survive as one.
 bool can_survive(const layout& counts, std::size_t zones) {
     if (group_survives(counts, zones)) {
         return true;
@@ -122,30 +125,31 @@
 
 }  // namespace
 
-Test(loss_check, no_tolerated_zone_takes_a_majority_of_a_group_where_any_layout_allows_it) {
-    std::size_t looked_at = 0;
-    std::size_t borne = 0;
+Test(loss_check, groups_survive_tolerated_zone_loss_if_any_layout_does) {
+    std::size_t checked_layouts = 0;
+    std::size_t survivable = 0;
     for_each_layout([&](const layout& counts) {
         for (std::size_t zones = 1; zones <= 2; ++zones) {
             const bool is_possible = can_survive(counts, zones);
             for (std::size_t losses = 0; losses <= 2; ++losses) {
                 const group_options options{.tolerated_losses = losses, .tolerated_zones = zones};
                 const auto view = form_groups(members_of_layout(counts), options);
-                ++looked_at;
-                borne += is_possible ? 1 : 0;
+                ++checked_layouts;
+                survivable += is_possible ? 1 : 0;
                 cr_assert(view.members.size() == size_of(counts));
                 cr_assert(survives_every_loss(view, counts.size(), zones) == is_possible);
-                cr_assert(bears_zones(view, zones) == is_possible);
+                cr_assert(survives_zone_loss(view, zones) == is_possible);
                 cr_assert(
                     find_groups_at_risk(view, {.disks = 0, .zones = zones}).by_zones.empty() ==
                     is_possible);
             }
         }
     });
-    cr_assert(looked_at > 4'000 && borne > 300, "%zu layouts, %zu borne", looked_at, borne);
+    cr_assert(checked_layouts > 4'000 && survivable > 300, "%zu layouts, %zu survivable",
+              checked_layouts, survivable);
 }
 
-Test(loss_check, groups_are_as_many_as_without_zones_where_these_are_of_one_size) {
+Test(loss_check, equal_zones_keep_the_number_of_groups) {
     const layout even = {3, 3, 3, 3};
     const auto plain = form_groups(members_of_layout(even), {.tolerated_losses = 1});
     const auto spread =
@@ -154,37 +158,38 @@
     cr_assert(plain.members == spread.members);
 }
 
-Test(loss_check, uneven_zones_get_fewer_groups_rather_than_one_that_a_zone_takes_along) {
+Test(loss_check, uneven_zones_get_fewer_groups_that_survive_zone_loss) {
     const layout uneven = {5, 4, 3};
     const auto plain = form_groups(members_of_layout(uneven), {.tolerated_losses = 1});
     cr_assert(plain.groups == 2);
-    cr_assert(!bears_zones(plain, 1));
+    cr_assert(!survives_zone_loss(plain, 1));
     const auto spread =
         form_groups(members_of_layout(uneven), {.tolerated_losses = 1, .tolerated_zones = 1});
     cr_assert(spread.groups == 1);
-    cr_assert(bears_zones(spread, 1));
+    cr_assert(survives_zone_loss(spread, 1));
 }
 
-Test(loss_check, members_that_enter_one_after_the_other_never_break_what_held) {
+Test(loss_check, entering_members_never_break_zone_tolerance) {
     for_each_layout([](const layout& counts) {
         const group_options options{.tolerated_losses = 1, .tolerated_zones = 1};
         auto view = form_groups(members_of_layout(counts), options);
         for (std::size_t number = 0; number < 4; ++number) {
-            const bool held = bears_zones(view, 1);
-            // Two in the first zone, two in the second.
+            const bool held = survives_zone_loss(view, 1);
+            // Two newcomers in the first zone, two in the second.
             directory::storage_member newcomer = member_in(number / 2, most_members + number);
             const auto group = group_to_enter(view, newcomer, std::nullopt, options);
-            cr_assert(group.has_value() || held, "nobody waits where nothing holds");
+            cr_assert(group.has_value() || held,
+                      "a newcomer waits only if it would break the tolerance");
             if (group.has_value()) {
                 newcomer.group = *group;
                 view.members.push_back(newcomer);
             }
-            cr_assert(!held || bears_zones(view, 1));
+            cr_assert(!held || survives_zone_loss(view, 1));
         }
     });
 }
 
-Test(loss_check, without_tolerated_zones_everybody_enters) {
+Test(loss_check, without_tolerated_zones_every_member_enters) {
     const auto view = form_groups(members_of_layout({1, 1, 1}), {.tolerated_losses = 1});
     const auto newcomer = member_in(0, 9);
     const group_options one_zone{.tolerated_losses = 1, .tolerated_zones = 1};
@@ -193,7 +198,7 @@
     cr_assert(group_to_enter(view, member_in(3, 9), std::nullopt, one_zone) == 0U);
 }
 
-Test(loss_check, members_about_to_leave_and_lost_disks_count) {
+Test(loss_check, retiring_members_and_lost_disks_count) {
     auto view = form_groups(members_of_layout({2, 2, 1}), {.tolerated_losses = 2});
     cr_assert(find_groups_at_risk(view, {.disks = 2, .zones = 1}) == groups_at_risk{});
     view.members.front().retiring = true;
--- a/tests/unit/turns/member_fixture.h
+++ b/tests/unit/turns/member_fixture.h
@@ -1,4 +1,4 @@
-/// Scripted storage members on one loop, and a client in front of them.
+/// Scripted storage members on one event loop, and a client that calls them.
 #pragma once
 
 #include <chrono>
@@ -23,21 +23,21 @@
 using net::testing::run_until;
 using std::chrono::milliseconds;
 
-/// What a scripted member does.
+/// Behavior of a scripted member.
 struct member_script {
     milliseconds reserve_delay{0};
     bool silent = false;
     bool complete = true;
     chain_result chain = chain_result::found;
     std::string chain_text = "said before";
-    /// Given where a chain's turns are asked for.
+    /// Returned if the request wants the turns of the chain.
     std::vector<turn_record> chain_records;
     std::vector<reservation> reservations;
-    /// Told to whoever counts on an older view; none: nobody does.
+    /// View returned to senders that rely on an older one; empty to accept every sender.
     std::optional<directory::storage_view> newer;
 
-    bool refuses(const view_stamp& asked) const {
-        return this->newer.has_value() && asked.revision < this->newer->revision;
+    bool rejects(const view_stamp& sender) const {
+        return this->newer.has_value() && sender.revision < this->newer->revision;
     }
 };
 
@@ -50,14 +50,14 @@
           rpc_(net::make_peer_rpc(
               loop,
               {.self = base::node_id(name), .cluster = "test", .listen = net::testing::loopback})) {
-        rpc_->register_method(wire::turn_reserve, [this](std::string_view payload, auto answer) {
+        rpc_->register_method(wire::turn_reserve, [this](std::string_view payload, auto responder) {
             if (this->script.silent) {
-                held_.push_back(std::move(answer));
+                unanswered_.push_back(std::move(responder));
                 return;
             }
             const auto request = wire::decode<reserve_request>(payload);
-            if (this->script.refuses(request->view)) {
-                answer->finish(wire::encode(reserve_reply{.newer = this->script.newer}));
+            if (this->script.rejects(request->view)) {
+                responder->finish(wire::encode(reserve_reply{.newer = this->script.newer}));
                 return;
             }
             ++reservations;
@@ -67,14 +67,14 @@
                 reply.chain = this->script.chain;
                 reply.chain_text = this->script.chain_text;
             }
-            timers_.push_back(loop_.after(this->script.reserve_delay, [answer, reply] {
-                answer->finish(wire::encode(reply));
+            timers_.push_back(loop_.after(this->script.reserve_delay, [responder, reply] {
+                responder->finish(wire::encode(reply));
             }));
         });
-        rpc_->register_method(wire::turn_read, [this](std::string_view payload, auto answer) {
+        rpc_->register_method(wire::turn_read, [this](std::string_view payload, auto responder) {
             ++reads;
             if (this->script.silent) {
-                held_.push_back(std::move(answer));
+                unanswered_.push_back(std::move(responder));
                 return;
             }
             read_reply reply{.is_complete = this->script.complete, .chain = this->script.chain};
@@ -83,25 +83,25 @@
             } else {
                 reply.chain_text = this->script.chain_text;
             }
-            answer->finish(wire::encode(reply));
+            responder->finish(wire::encode(reply));
         });
-        rpc_->register_method(wire::turn_usage, [this](std::string_view, auto answer) {
-            ++usage_questions;
-            answer->finish(wire::encode(usage_reply{.is_complete = this->script.complete,
-                                                    .reservations = this->script.reservations}));
+        rpc_->register_method(wire::turn_usage, [this](std::string_view, auto responder) {
+            ++usage_requests;
+            responder->finish(wire::encode(usage_reply{.is_complete = this->script.complete,
+                                                       .reservations = this->script.reservations}));
         });
-        rpc_->register_method(wire::turn_finish, [this](std::string_view payload, auto answer) {
+        rpc_->register_method(wire::turn_finish, [this](std::string_view payload, auto responder) {
             if (this->script.silent) {
-                held_.push_back(std::move(answer));
+                unanswered_.push_back(std::move(responder));
                 return;
             }
             auto request = *wire::decode<finish_request>(payload);
-            if (this->script.refuses(request.view)) {
-                answer->finish(wire::encode(finish_reply{.newer = this->script.newer}));
+            if (this->script.rejects(request.view)) {
+                responder->finish(wire::encode(finish_reply{.newer = this->script.newer}));
                 return;
             }
             finished.push_back(std::move(request));
-            answer->finish(wire::encode(finish_reply{.is_complete = this->script.complete}));
+            responder->finish(wire::encode(finish_reply{.is_complete = this->script.complete}));
         });
         cr_assert(rpc_->start().ok());
     }
@@ -112,7 +112,7 @@
 
     int reservations = 0;
     int reads = 0;
-    int usage_questions = 0;
+    int usage_requests = 0;
     std::vector<finish_request> finished;
 
   private:
@@ -124,13 +124,14 @@
 
   private:
     std::unique_ptr<net::peer_rpc> rpc_;
-    std::vector<std::shared_ptr<net::peer_responder>> held_;
+    std::vector<std::shared_ptr<net::peer_responder>> unanswered_;
     std::vector<std::unique_ptr<net::timer_handle>> timers_;
 };
 
 /// Members in zones a, b, c, ... and a client in zone a.
 struct member_group {
-    /// `group_size` 0: all are one replica group; else each so many after one another are one.
+    /// With `group_size` 0 all members form one replica group; otherwise each `group_size`
+    /// consecutive members form one.
     explicit member_group(const std::vector<member_script>& scripts, std::uint32_t group_size = 0) {
         char zone = 'a';
         for (const member_script& script : scripts) {
@@ -175,9 +176,9 @@
     base::system_clock_source clock;
     std::list<scripted_member> members;
     directory::storage_view view;
-    /// None while its port is 0.
+    /// Unset while its port is 0.
     net::endpoint relay_peer{"127.0.0.1", 0};
-    /// Chosen before that one, each once.
+    /// Peers that are chosen before `relay_peer`, each once.
     std::vector<net::endpoint> relay_peers;
     int relays_chosen = 0;
     std::unique_ptr<net::peer_rpc> rpc;
@@ -185,7 +186,7 @@
     std::unique_ptr<turn_client> client;
 };
 
-/// A program that the group keeps.
+/// Returns a program that the group stores.
 inline base::program_id program_in(const directory::storage_view& view, std::uint32_t group) {
     for (int index = 0;; ++index) {
         base::program_id program("program-" + std::to_string(index));
--- a/tests/unit/turns/memory_store.h
+++ b/tests/unit/turns/memory_store.h
@@ -1,4 +1,4 @@
-/// A store of turns in memory, whose writes a test can hold back or fail.
+/// In-memory turn store whose writes a test can delay or fail.
 #pragma once
 
 #include <functional>
--- a/tests/unit/turns/relaying_caller_test.cc
+++ b/tests/unit/turns/relaying_caller_test.cc
@@ -1,4 +1,4 @@
-// A node that cannot reach the storage members by itself, and a peer that can.
+// A node that cannot reach the storage members directly, and a peer that can.
 #include <algorithm>
 
 #include "member_fixture.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A node that relays to the members of a view.
+/// A node that relays calls to the members of a view.
 struct relay_node {
     relay_node(net::event_loop& loop, const directory::storage_view& view, bool is_cut = false)
         : rpc(net::make_peer_rpc(loop, {.self = base::node_id("peer"),
@@ -31,7 +31,7 @@
 
 Test(relaying_caller, reaches_the_members_through_a_peer) {
     member_group group({{.silent = true}, {.silent = true}, {.silent = true}});
-    // The same members, by the way that the peer has.
+    // The same members at the addresses through which the peer reaches them.
     std::list<scripted_member> reached;
     directory::storage_view view = group.view;
     for (directory::storage_member& member : view.members) {
@@ -56,8 +56,8 @@
     cr_assert(holding >= 2);
 }
 
-// A third of the nodes is cut off together: a peer that is drawn is often one of them.
-Test(relaying_caller, a_peer_that_is_cut_itself_says_so_and_the_next_one_is_asked_at_once) {
+// When a third of the nodes is cut off together, a randomly chosen peer is often cut off as well.
+Test(relaying_caller, cut_off_peer_reports_it_and_next_peer_is_called_at_once) {
     member_group group({{.silent = true}, {.silent = true}, {.silent = true}});
     std::list<scripted_member> reached;
     directory::storage_view view = group.view;
@@ -71,15 +71,16 @@
     cr_assert(group.caller->is_cut());
     group.relay_peers = {cut.rpc->local_endpoint(), cut.rpc->local_endpoint()};
     group.relay_peer = peer.rpc->local_endpoint();
-    const auto began = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     cr_assert(group.prepare(request_of(10, 100)).outcome == turn_outcome::may_run);
-    const auto took = std::chrono::steady_clock::now() - began;
-    cr_assert(took < relaying_options{}.rest, "%.3f s",
+    const auto took = std::chrono::steady_clock::now() - started_at;
+    cr_assert(took < relaying_options{}.relay_backoff, "%.3f s",
               std::chrono::duration<double>(took).count());
 }
 
-// One member is down while the node is cut off: a relay that reaches the others is a good one.
-Test(relaying_caller, a_member_that_is_down_does_not_cost_the_peer_that_reaches_the_others) {
+// One member is down while the node is cut off: a relay that reaches the other members must be
+// kept.
+Test(relaying_caller, dead_member_does_not_replace_working_relay) {
     member_group group({{.silent = true}, {.silent = true}, {.silent = true}});
     std::list<scripted_member> reached;
     directory::storage_view view = group.view;
@@ -104,10 +105,10 @@
     for (int round = 0; round < 5; ++round) {
         cr_assert(!reaches(0) && reaches(1) && reaches(2));
     }
-    cr_assert(group.relays_chosen == chosen, "%d more drawn", group.relays_chosen - chosen);
+    cr_assert(group.relays_chosen == chosen, "%d more chosen", group.relays_chosen - chosen);
 }
 
-Test(relaying_caller, a_silent_minority_costs_no_peer_anything) {
+Test(relaying_caller, silent_minority_causes_no_relayed_calls) {
     member_group group({{}, {}, {.silent = true}});
     const relay_node peer(group.loop, group.view);
     group.relay_peer = peer.rpc->local_endpoint();
@@ -119,7 +120,7 @@
     cr_assert(!group.caller->is_cut());
 }
 
-Test(relaying_caller, members_that_nobody_reaches_end_the_turn_in_time) {
+Test(relaying_caller, unreachable_members_end_the_turn_in_time) {
     member_group group({{.silent = true}, {.silent = true}, {.silent = true}});
     const relay_node peer(group.loop, group.view);
     group.relay_peer = peer.rpc->local_endpoint();
@@ -127,15 +128,15 @@
     cr_assert(group.prepare(request_of(10, 100)).outcome == turn_outcome::unavailable);
     cr_assert(std::chrono::steady_clock::now() - before < std::chrono::seconds(10));
     cr_assert(group.caller->is_cut());
-    cr_assert(group.caller->relayed_calls() < 40, "a relay that reached nothing rests");
+    cr_assert(group.caller->relayed_calls() < 40, "failed relays back off");
 }
 
-Test(relaying_caller, without_members_nothing_is_cut) {
+Test(relaying_caller, empty_view_is_not_cut) {
     const member_group group({});
     cr_assert(!group.caller->is_cut());
 }
 
-Test(relaying_caller, a_turn_given_up_early_is_no_sign_of_silence) {
+Test(relaying_caller, cancelled_turn_does_not_mark_members_silent) {
     member_group group({{}, {}, {}});
     {
         const auto step = group.client->prepare(request_of(10, 100), [](const prepared_turn&) {});
@@ -144,7 +145,7 @@
     cr_assert(!group.caller->is_cut());
 }
 
-Test(relaying_caller, a_peer_passes_on_only_calls_to_members_that_it_knows) {
+Test(relaying_caller, peer_relays_only_known_methods_to_known_members) {
     member_group group({{}, {}, {}});
     const relay_node peer(group.loop, group.view);
     for (const relay_request& request :
--- a/tests/unit/turns/replica_groups_test.cc
+++ b/tests/unit/turns/replica_groups_test.cc
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-Test(replica_groups, few_members_are_one_group) {
+Test(replica_groups, few_members_form_one_group) {
     for (const std::size_t count : {1, 3, 4, 5, 9, 13}) {
         const auto view = form_groups(members_in({{"a", count}}), two_losses);
         cr_assert(view.groups == 1, "%zu members", count);
@@ -65,7 +65,7 @@
     }
 }
 
-Test(replica_groups, each_group_spreads_over_zones_and_loses_two_disks_without_losing_most) {
+Test(replica_groups, each_group_spreads_over_zones_and_keeps_majority_without_two_disks) {
     const auto view = form_groups(
         members_in({{"a", 6}, {"b", 6}, {"c", 6}, {"d", 6}, {"e", 6}, {"f", 6}}), two_losses);
     cr_assert(view.groups == 5, "%u groups", view.groups);
@@ -77,7 +77,7 @@
     }
 }
 
-Test(replica_groups, zones_of_any_size_give_groups_of_one_size) {
+Test(replica_groups, zones_of_any_size_give_groups_of_equal_size) {
     base::random_source random(7);
     for (int round = 0; round < 200; ++round) {
         std::vector<std::pair<std::string, std::size_t>> zones;
@@ -97,7 +97,7 @@
         cr_assert(view.members.size() == candidates.size(), "everybody is in a group");
         cr_assert(shapes_of(view).size() == view.groups, "no group is empty");
         cr_assert(most - least <= 1, "sizes %zu and %zu", least, most);
-        cr_assert(view.groups == 1 || least >= two_losses.least_size());
+        cr_assert(view.groups == 1 || least >= two_losses.min_size());
     }
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-Test(replica_groups, a_newcomer_enters_the_smallest_group_and_there_the_emptiest_zone) {
+Test(replica_groups, newcomer_enters_smallest_group_with_fewest_members_in_its_zone) {
     auto view = form_groups(members_in({{"a", 5}, {"b", 5}, {"c", 5}}),
                             group_options{.tolerated_losses = 1});
     cr_assert(view.groups == 3);
@@ -128,7 +128,8 @@
                   [](const auto& member) { return member.group == 1 && member.zone == "b"; });
     cr_assert(group_for_newcomer(view, member_in("a", 9), std::nullopt) == 1);
 
-    // All of one size again: where the newcomer's zone has the fewest.
+    // All groups have the same size again: the newcomer enters the group with the fewest members in
+    // its zone.
     view = form_groups(members_in({{"a", 5}, {"b", 5}, {"c", 5}}),
                        group_options{.tolerated_losses = 1});
     const auto shapes = shapes_of(view);
@@ -138,7 +139,7 @@
     }
 }
 
-Test(replica_groups, a_member_comes_back_to_its_former_group_unless_another_needs_it) {
+Test(replica_groups, member_returns_to_former_group_unless_another_needs_it) {
     auto view = form_groups(members_in({{"a", 5}, {"b", 5}, {"c", 5}}),
                             group_options{.tolerated_losses = 1});
     cr_assert(group_for_newcomer(view, member_in("a", 9), 2) == 2);
@@ -148,7 +149,7 @@
     cr_assert(group_for_newcomer(view, member_in("a", 9), 2) == 0, "group 0 has lost two");
 }
 
-Test(replica_groups, members_that_are_about_to_leave_do_not_count) {
+Test(replica_groups, retiring_members_do_not_count) {
     auto view = form_groups(members_in({{"a", 5}, {"b", 5}, {"c", 5}}),
                             group_options{.tolerated_losses = 1});
     for (auto& member : view.members) {
--- a/tests/unit/turns/storage_membership_test.cc
+++ b/tests/unit/turns/storage_membership_test.cc
@@ -1,4 +1,4 @@
-// Storage members that agree on a view through a register that a test holds in its hand.
+// Storage members that agree on a view through a register controlled by the test.
 #include "pearbarrow/turns/storage_membership.h"
 
 #include <list>
@@ -21,7 +21,7 @@
 
 struct fleet;
 
-/// One member with its own look at the shared register.
+/// One member with its own access to the shared register.
 struct member final : storage_register {
     member(fleet& owner, const std::string& name, const std::string& zone, bool complete);
 
@@ -49,22 +49,22 @@
 
 struct fleet {
     member& add(const std::string& name, const std::string& zone, bool complete = true) {
-        auto& one = this->members.emplace_back(*this, name, zone, complete);
-        one.replica.start();
-        one.membership->start();
-        one.membership->set_retiring(false);
+        auto& fleet_member = this->members.emplace_back(*this, name, zone, complete);
+        fleet_member.replica.start();
+        fleet_member.membership->start();
+        fleet_member.membership->set_retiring(false);
         if (this->view.has_value()) {
-            one.take_view(*this->view);
+            fleet_member.take_view(*this->view);
         } else {
-            one.membership->set_register_empty();
+            fleet_member.membership->set_register_empty();
         }
-        return one;
+        return fleet_member;
     }
     void publish(directory::storage_view next) {
         next.revision = this->view.has_value() ? this->view->revision + 1 : 1;
         this->view = std::move(next);
-        for (member& one : this->members) {
-            one.take_view(*this->view);
+        for (member& fleet_member : this->members) {
+            fleet_member.take_view(*this->view);
         }
     }
     std::size_t size_of(std::uint32_t group) const {
@@ -73,7 +73,7 @@
     member& first_of(std::uint32_t group) {
         const std::string name = members_of(*this->view, group).members.front().node.value();
         return *std::find_if(this->members.begin(), this->members.end(),
-                             [&](const member& one) { return one.name == name; });
+                             [&](const member& fleet_member) { return fleet_member.name == name; });
     }
 
     net::event_loop loop;
@@ -115,7 +115,7 @@
 
 void member::propose(const directory::storage_view& next, std::function<void(absl::Status)> done) {
     ++this->owner.proposals;
-    // As a service would: the answer comes later, and only one of two at a time is taken.
+    // Like a service, replies asynchronously and accepts only one of two concurrent proposals.
     this->owner.loop.post([this, next, done = std::move(done)] {
         const std::uint64_t now = this->owner.view.has_value() ? this->owner.view->revision : 0;
         if (next.revision != now) {
@@ -132,13 +132,13 @@
     this->owner.loop.post([this, self, done = std::move(done)] {
         done(absl::OkStatus());
         this->owner.candidates.push_back(self);
-        for (member& one : this->owner.members) {
-            one.membership->set_candidates(this->owner.candidates);
+        for (member& fleet_member : this->owner.members) {
+            fleet_member.membership->set_candidates(this->owner.candidates);
         }
     });
 }
 
-/// Nine members in three zones: three groups of three.
+/// Forms three groups of three from nine members in three zones.
 void form(fleet& fleet) {
     for (int index = 0; index < 9; ++index) {
         fleet.add("store-" + std::to_string(index),
@@ -149,14 +149,14 @@
 
 }  // namespace
 
-Test(storage_membership, a_new_fleet_is_divided_by_one_proposal) {
+Test(storage_membership, new_fleet_is_divided_by_one_proposal) {
     fleet fleet;
     form(fleet);
     cr_assert(fleet.view->groups == 3);
     for (std::uint32_t group = 0; group < 3; ++group) {
         std::set<std::string> zones;
-        for (const auto& one : members_of(*fleet.view, group).members) {
-            zones.insert(one.zone);
+        for (const auto& fleet_member : members_of(*fleet.view, group).members) {
+            zones.insert(fleet_member.zone);
         }
         cr_assert(zones.size() == 3, "group %u spreads over %zu zones", group, zones.size());
     }
@@ -164,7 +164,7 @@
     cr_assert(fleet.proposals == 1, "%zu proposals", fleet.proposals);
 }
 
-Test(storage_membership, members_in_small_number_are_one_group) {
+Test(storage_membership, few_members_form_one_group) {
     fleet fleet;
     for (const char* name : {"x", "y", "z"}) {
         fleet.add(name, "a");
@@ -173,20 +173,20 @@
     cr_assert(fleet.view->groups == 1);
 }
 
-Test(storage_membership, a_member_that_comes_later_joins_the_group_that_lost_one) {
+Test(storage_membership, late_member_joins_group_that_lost_one) {
     fleet fleet;
     form(fleet);
     member& lost = fleet.first_of(1);
     const std::string name = lost.name;
-    fleet.members.remove_if([&](const member& one) { return one.name == name; });
+    fleet.members.remove_if([&](const member& fleet_member) { return fleet_member.name == name; });
     cr_assert(run_until(fleet.loop, [&] { return fleet.size_of(1) == 2; }),
-              "its own group takes it out");
+              "its own group removes it");
     fleet.add("later", "a", false);
     cr_assert(run_until(fleet.loop, [&] { return fleet.size_of(1) == 3; }));
     cr_assert(run_until(fleet.loop, [&] { return fleet.members.back().replica.is_complete(); }));
 }
 
-Test(storage_membership, a_member_that_would_let_a_zone_take_a_majority_waits_for_another_zone) {
+Test(storage_membership, member_that_breaks_zone_tolerance_waits_for_another_zone) {
     fleet fleet;
     fleet.groups = {.tolerated_losses = 1, .tolerated_zones = 1};
     for (const char* zone : {"a", "b", "c"}) {
@@ -200,14 +200,14 @@
     cr_assert(run_until(fleet.loop, [&] { return fleet.size_of(0) == 5; }), "both enter");
 }
 
-Test(storage_membership, members_of_other_groups_are_nobodys_dead) {
+Test(storage_membership, members_of_other_groups_are_never_removed) {
     fleet fleet;
     form(fleet);
     run_for(fleet.loop, base::milliseconds{700});
-    cr_assert(fleet.view->members.size() == 9, "nobody of another group was listed, nor taken out");
+    cr_assert(fleet.view->members.size() == 9, "no member of another group was removed");
 }
 
-Test(storage_membership, a_member_leaves_once_its_group_has_all_that_it_holds) {
+Test(storage_membership, member_leaves_once_its_group_has_all_its_data) {
     fleet fleet;
     form(fleet);
     member& leaving = fleet.first_of(2);
@@ -222,12 +222,12 @@
     cr_assert(run_until(fleet.loop, [&] { return stored.has_value(); }) && *stored);
     leaving.membership->set_retiring(true);
     cr_assert(run_until(fleet.loop, [&] { return leaving.completed; }));
-    std::size_t holding = 0;
-    for (const member& one : fleet.members) {
-        const auto* entry = fleet.view->find(base::node_id(one.name));
-        const bool holds = one.store.turns.count(turn_id("t1")) == 1;
+    std::size_t replicas = 0;
+    for (const member& fleet_member : fleet.members) {
+        const auto* entry = fleet.view->find(base::node_id(fleet_member.name));
+        const bool holds = fleet_member.store.turns.count(turn_id("t1")) == 1;
         cr_assert(!holds || entry == nullptr || entry->group == 2, "only the group copies it");
-        holding += holds && entry != nullptr ? 1 : 0;
+        replicas += holds && entry != nullptr ? 1 : 0;
     }
-    cr_assert(holding == 2, "%zu of those that stay", holding);
+    cr_assert(replicas == 2, "%zu of the remaining members", replicas);
 }
--- a/tests/unit/turns/turn_client_test.cc
+++ b/tests/unit/turns/turn_client_test.cc
@@ -16,7 +16,7 @@
     cr_assert(prepared.chain_text == "said before");
 }
 
-Test(turn_client, the_chain_may_come_after_most_have_confirmed) {
+Test(turn_client, chain_may_arrive_after_majority_confirmed) {
     member_group group({{.reserve_delay = milliseconds(30)}, {}, {}});
     const auto prepared = group.prepare(request_of(10, 100, "before"));
     cr_assert(prepared.outcome == turn_outcome::may_run);
@@ -24,7 +24,7 @@
     cr_assert(group.members.back().reads == 0, "no other member had to be asked");
 }
 
-Test(turn_client, a_silent_member_delays_nothing) {
+Test(turn_client, silent_member_causes_no_delay) {
     member_group group({{.silent = true}, {}, {}});
     const auto prepared = group.prepare(request_of(10, 100, "before"));
     cr_assert(prepared.outcome == turn_outcome::may_run);
@@ -36,12 +36,12 @@
     cr_assert(group.prepare(request_of(10, 100)).outcome == turn_outcome::unavailable);
 }
 
-Test(turn_client, members_that_are_not_complete_do_not_count) {
+Test(turn_client, incomplete_members_do_not_count) {
     member_group group({{.complete = false}, {.complete = false}, {}});
     cr_assert(group.prepare(request_of(10, 100)).outcome == turn_outcome::unavailable);
 }
 
-Test(turn_client, a_chain_is_absent_only_when_every_member_says_so) {
+Test(turn_client, chain_is_absent_only_if_every_member_reports_it) {
     const member_script absent{.chain = chain_result::absent, .chain_text = ""};
     member_group all({absent, absent, absent});
     cr_assert(all.prepare(request_of(10, 100, "none")).outcome == turn_outcome::no_such_turn);
@@ -62,18 +62,19 @@
     cr_assert(found.chain_text == "said before");
 }
 
-Test(turn_client, the_budget_is_judged_by_all_that_members_know) {
+Test(turn_client, budget_check_uses_reservations_of_all_members) {
     const reservation other{
         .program = base::program_id("program"), .turn = turn_id("other"), .tokens = 60};
     const reservation another{
         .program = base::program_id("program"), .turn = turn_id("another"), .tokens = 31};
     member_group group({{.reservations = {other}}, {.reservations = {another}}, {}});
     cr_assert(group.prepare(request_of(9, 100)).outcome == turn_outcome::may_run);
-    cr_assert(group.members.front().usage_questions > 0, "close to the bound: a second look");
+    cr_assert(group.members.front().usage_requests > 0,
+              "a total close to the budget needs a reread");
     cr_assert(group.prepare(request_of(10, 100)).outcome != turn_outcome::may_run);
 }
 
-Test(turn_client, a_turn_is_stored_once_most_have_it_and_reaches_the_rest) {
+Test(turn_client, turn_is_stored_by_majority_and_reaches_the_rest) {
     member_group group({{}, {}, {}});
     bool stored = false;
     finish_request request;
@@ -88,7 +89,7 @@
     }));
 }
 
-Test(turn_client, a_turn_that_too_few_store_is_an_error) {
+Test(turn_client, turn_stored_by_too_few_members_is_an_error) {
     member_group group({{.silent = true}, {.silent = true}, {}});
     std::optional<absl::Status> result;
     finish_request request;
@@ -99,8 +100,8 @@
     cr_assert(!result->ok());
 }
 
-// A question that outlived the client would, when it ends, speak to a caller that is gone.
-Test(turn_client, nothing_is_open_once_the_client_has_gone) {
+// A call that outlived the client would run a callback of a destroyed caller.
+Test(turn_client, destroyed_client_leaves_no_calls_in_flight) {
     net::event_loop loop;
     counting_caller caller;
     const base::system_clock_source clock;
@@ -121,7 +122,7 @@
 
 namespace {
 
-/// Of a program that the second of two groups keeps.
+/// Returns a request of a program that the second of two groups stores.
 turn_request request_to_second(const directory::storage_view& view, const std::string& previous) {
     turn_request request = request_of(10, 100, previous);
     request.wanted.program = program_in(view, 1);
@@ -132,7 +133,7 @@
 
 }  // namespace
 
-Test(turn_client, a_turn_costs_the_members_of_one_group) {
+Test(turn_client, turn_involves_members_of_one_group_only) {
     member_group fleet({{}, {}, {}, {}, {}, {}}, 3);
     const auto prepared = fleet.prepare(request_to_second(fleet.view, "before"));
     cr_assert(prepared.outcome == turn_outcome::may_run);
@@ -160,7 +161,7 @@
     }
 }
 
-Test(turn_client, a_silent_group_holds_up_only_its_own_turns) {
+Test(turn_client, silent_group_delays_only_its_own_turns) {
     const member_script silent{.silent = true};
     member_group fleet({silent, silent, silent, {}, {}, {}}, 3);
     turn_request first = request_of(10, 100);
@@ -169,7 +170,7 @@
     cr_assert(fleet.prepare(request_to_second(fleet.view, "")).outcome == turn_outcome::may_run);
 }
 
-Test(turn_client, a_chain_of_another_groups_program_is_found_there_and_copied) {
+Test(turn_client, chain_of_another_group_is_found_and_copied) {
     member_script holder;
     holder.chain_records = {{.turn = turn_id("first"),
                              .program = base::program_id("other"),
@@ -192,7 +193,7 @@
     cr_assert(fleet.members.front().reservations == 0, "only the program's group reserves");
 }
 
-Test(turn_client, a_chain_is_absent_only_when_every_member_of_every_group_says_so) {
+Test(turn_client, chain_is_absent_only_if_every_member_of_every_group_reports_it) {
     member_group all({lacks_it, lacks_it, lacks_it, lacks_it, lacks_it, lacks_it}, 3);
     cr_assert(all.prepare(request_to_second(all.view, "none")).outcome ==
               turn_outcome::no_such_turn);
@@ -210,7 +211,7 @@
               turn_outcome::unavailable);
 }
 
-Test(turn_client, a_member_of_the_own_group_that_is_away_does_not_hide_what_another_group_has) {
+Test(turn_client, unreachable_own_member_does_not_hide_chain_of_another_group) {
     member_script silent = lacks_it;
     silent.silent = true;
     member_script holder;
@@ -223,8 +224,8 @@
 
 namespace {
 
-/// Five members, of which the client knows the first three. The first two know all five and newer
-/// voters: the last three.
+/// Five members, of which the client knows the first three. The first two members know all five and
+/// a newer view whose voters are the last three.
 struct group_that_has_changed : member_group {
     group_that_has_changed() : member_group({{}, {}, {}, {}, {}}) {
         directory::storage_view newer = this->view;
@@ -242,8 +243,8 @@
 
 }  // namespace
 
-// The newer voters come with the refusal: nothing waits for the directory.
-Test(turn_client, a_turn_goes_on_among_the_voters_that_a_member_tells_of) {
+// The rejection contains the newer voters, so the turn does not wait for the directory.
+Test(turn_client, turn_continues_with_newer_voters_returned_by_a_member) {
     group_that_has_changed group;
     const auto prepared = group.prepare(request_of(10, 100));
     cr_assert(prepared.outcome == turn_outcome::may_run && prepared.view_revision == 2);
@@ -253,7 +254,7 @@
                group.at(4).reservations == 1;
     }));
     cr_assert(group.client->views().of(0).revision == 2);
-    // The directory is behind what the member has told, then catches up.
+    // The directory lags behind the view that the member returned, then catches up.
     group.client->set_view(group.view);
     cr_assert(group.client->views().of(0).revision == 2);
     directory::storage_view next = group.view;
@@ -262,7 +263,7 @@
     cr_assert(group.client->views().of(0).members.size() == 5);
 }
 
-Test(turn_client, a_write_goes_on_among_the_voters_that_a_member_tells_of) {
+Test(turn_client, write_continues_with_newer_voters_returned_by_a_member) {
     group_that_has_changed group;
     finish_request request;
     request.settled.push_back(
@@ -279,8 +280,9 @@
     cr_assert(group.at(0).finished.empty() && group.at(1).finished.empty());
 }
 
-// All that is under way when a voter changes is refused; whoever comes second finds them known.
-Test(turn_client, voters_that_one_refusal_has_told_are_known_to_the_others) {
+// All operations in flight are rejected when a voter changes; those after the first find the newer
+// voters already recorded.
+Test(turn_client, newer_voters_from_one_rejection_serve_all_operations) {
     group_views views;
     directory::storage_view known{
         .revision = 1, .members = {{.node = base::node_id("a")}, {.node = base::node_id("b")}}};
@@ -291,15 +293,15 @@
     directory::storage_view unnamed{.revision = 4, .members = {}};
     directory::storage_view elsewhere = newer;
     elsewhere.members.front().group = 1;
-    cr_assert(!views.note_newer(0, unnamed) && !views.note_newer(0, elsewhere));
-    cr_assert(views.note_newer(0, newer) && views.of(0).members.size() == 1);
-    cr_assert(views.note_newer(0, newer) && views.note_newer(0, unnamed));
-    cr_assert(views.note_newer(0, known), "an older word takes nothing back");
+    cr_assert(!views.record_newer(0, unnamed) && !views.record_newer(0, elsewhere));
+    cr_assert(views.record_newer(0, newer) && views.of(0).members.size() == 1);
+    cr_assert(views.record_newer(0, newer) && views.record_newer(0, unnamed));
+    cr_assert(views.record_newer(0, known), "an older view is ignored");
     cr_assert(views.of(0).revision == 4);
 }
 
-// A restarted member knows from its disk that there are newer voters, and not yet who they are.
-Test(turn_client, a_turn_waits_for_voters_that_nobody_can_name) {
+// A restarted member knows from disk that newer voters exist, but not yet who they are.
+Test(turn_client, turn_waits_for_directory_if_no_member_names_newer_voters) {
     group_that_has_changed group;
     const directory::storage_view newer = *group.at(0).script.newer;
     for (scripted_member& member : group.members) {
--- a/tests/unit/turns/turn_index_test.cc
+++ b/tests/unit/turns/turn_index_test.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Test(turn_index, a_chain_is_given_oldest_first_or_not_at_all) {
+Test(turn_index, chain_is_returned_oldest_first_or_not_at_all) {
     turn_index index({});
     const base::instant now{};
     index.add(turn_of(index, "a", ""), now);
@@ -36,24 +36,24 @@
     cr_assert(!index.chain(turn_id("d")).has_value());
 }
 
-Test(turn_index, a_chain_that_names_itself_is_not_here) {
+Test(turn_index, cyclic_chain_is_not_returned) {
     turn_index index({});
     index.add(turn_of(index, "a", "b"), {});
     index.add(turn_of(index, "b", "a"), {});
     cr_assert(!index.chain(turn_id("a")).has_value());
 }
 
-Test(turn_index, a_settled_reservation_stays_settled) {
+Test(turn_index, settled_reservation_stays_settled) {
     turn_index index({});
     index.add(reservation_of(index, "a", 50, false), {});
     index.add(reservation_of(index, "a", 30, true), {});
     index.add(reservation_of(index, "a", 50, false), {});
     const auto held = index.reservations(base::program_id("p"));
     cr_assert(held.size() == 1 && held.front().tokens == 30 && held.front().settled);
-    cr_assert(!index.is_news(held.front()));
+    cr_assert(!index.adds_information(held.front()));
 }
 
-Test(turn_index, a_listing_goes_on_where_the_last_one_ended) {
+Test(turn_index, listing_continues_where_the_last_one_ended) {
     turn_index index({});
     index.add(turn_of(index, "a", ""), {});
     index.add(reservation_of(index, "a", 50, false), {});
@@ -63,7 +63,7 @@
     const auto rest = index.list(first.through, 2);
     cr_assert(!rest.more && rest.turns == std::vector<turn_id>{turn_id("b")});
     cr_assert(rest.through == index.last_listed());
-    // A settled reservation is a change of its own.
+    // Settling a reservation is a separate change.
     index.add(reservation_of(index, "a", 10, true), {});
     cr_assert(index.list(rest.through, 2).reservations.size() == 1);
 }
@@ -78,7 +78,7 @@
     cr_assert(index.list({}, 10).turns.empty() && index.list({}, 10).reservations.empty());
 }
 
-Test(turn_index, a_clock_that_jumped_shortens_no_retention_much) {
+Test(turn_index, clock_jump_shortens_retention_by_half_at_most) {
     store_contents contents;
     contents.turns.push_back(
         {change_number(1), 0, {.turn = turn_id("a"), .retention_seconds = 60}});
@@ -87,8 +87,8 @@
     cr_assert(index.expire(base::instant{} + seconds{30}).dropped_turns.empty());
 }
 
-// Other members ask for what comes after the largest number that they have seen.
-Test(turn_index, a_number_is_not_given_anew_when_its_change_has_gone) {
+// Other members request the changes after the largest number that they have seen.
+Test(turn_index, number_of_dropped_change_is_not_reused) {
     turn_index index({.reservation_retention = seconds{10}});
     const base::instant now{};
     index.add(reservation_of(index, "a", 10, false), now);
@@ -99,7 +99,7 @@
     cr_assert(again.next_number() == change_number(2));
 }
 
-Test(turn_index, reservations_are_kept_for_as_long_as_programs_may_come_back) {
+Test(turn_index, reservations_are_kept_for_configured_time) {
     turn_index index({});
     index.keep_reservations_for(seconds{75});
     index.add(reservation_of(index, "a", 50, false), {});
@@ -112,8 +112,8 @@
 
 namespace {
 
-/// Turns of 16-digit ids, four a program, each reserved, stored and settled; 500 a second, what a
-/// member gets at the planned 3,000 a second over six groups.
+/// Stores turns with 16-digit ids, four per program, each reserved, stored and settled. The rate of
+/// 500 turns per second is the share of one member at the planned 3,000 per second over six groups.
 class busy_member {
   public:
     void run_until(seconds end) {
@@ -158,8 +158,8 @@
 
 }  // namespace
 
-// The smallest members have 120 MB. INDEX_SECONDS=3600 plays an hour.
-Test(turn_index, memory_is_flat_at_the_planned_rate) {
+// The smallest members have 120 MB of memory. INDEX_SECONDS=3600 simulates an hour.
+Test(turn_index, memory_is_constant_at_the_planned_rate) {
     const char* wanted = std::getenv("INDEX_SECONDS");
     const seconds length{wanted == nullptr ? 400 : std::atoi(wanted)};
     const double before = megabytes_in_use();
--- a/tests/unit/turns/turn_replica_test.cc
+++ b/tests/unit/turns/turn_replica_test.cc
@@ -1,4 +1,4 @@
-// Storage members that keep level with each other, over stores that a test holds in its hand.
+// Storage members that synchronize with each other, over stores controlled by the test.
 #include "pearbarrow/turns/turn_replica.h"
 
 #include <list>
@@ -32,7 +32,7 @@
     }
     static replica_options options(const std::string& name) {
         replica_options options{.self = base::node_id(name), .index = {}};
-        // Longer than any test: what happens does not wait for it.
+        // Longer than any test, so no result depends on it.
         options.listing_interval = base::milliseconds{60'000};
         return options;
     }
@@ -44,7 +44,7 @@
     }
 
     template <typename Reply, typename Request>
-    absl::StatusOr<Reply> ask(net::method_number method, const Request& request) {
+    absl::StatusOr<Reply> call(net::method_number method, const Request& request) {
         std::optional<absl::StatusOr<Reply>> answer;
         const auto call = this->rpc->call(
             base::node_id(this->name), this->rpc->local_endpoint(), method, wire::encode(request),
@@ -56,8 +56,8 @@
         cr_assert(run_until(this->loop, [&] { return answer.has_value(); }));
         return *answer;
     }
-    absl::Status keep(const std::string& program, const std::string& turn,
-                      const std::string& previous = "") {
+    absl::Status store_turn(const std::string& program, const std::string& turn,
+                            const std::string& previous = "") {
         finish_request request;
         request.settled.push_back({.program = base::program_id(program),
                                    .turn = turn_id(turn),
@@ -69,7 +69,7 @@
                                    .input = "in " + turn + ";",
                                    .output = "out " + turn + ";",
                                    .retention_seconds = 60});
-        return this->ask<finish_reply>(wire::turn_finish, request).status();
+        return this->call<finish_reply>(wire::turn_finish, request).status();
     }
 
     net::event_loop& loop;
@@ -86,7 +86,7 @@
         this->staying.replica.start();
     }
     void set_view(bool retiring) {
-        this->leaving.replica.refuse_writes(retiring);
+        this->leaving.replica.reject_writes(retiring);
         this->leaving.replica.set_view(this->view(retiring));
         this->staying.replica.set_view(this->view(retiring));
     }
@@ -94,7 +94,7 @@
         return {.revision = ++this->revision,
                 .members = {this->leaving.entry(retiring), this->staying.entry()}};
     }
-    /// Stores a turn at the member that is to leave; the outcome arrives in `stored`.
+    /// Stores a turn at the retiring member; the outcome is set in `stored`.
     void store_turn(const std::string& turn) {
         finish_request request;
         request.records.push_back({.turn = turn_id(turn), .input = "in", .output = "out"});
@@ -105,7 +105,7 @@
                  this->stored = reply.ok();
              }}));
     }
-    bool is_level() const {
+    bool is_replicated() const {
         return this->leaving.replica.has_everything(base::node_id(this->staying.name));
     }
 
@@ -120,36 +120,37 @@
 
 }  // namespace
 
-Test(turn_replica, a_member_that_retires_is_listed_at_once) {
+Test(turn_replica, retiring_member_is_listed_at_once) {
     two_members pair;
     pair.store_turn("t1");
     cr_assert(run_until(pair.loop, [&] { return pair.stored.has_value(); }));
-    cr_assert(*pair.stored && !pair.is_level());
-    bool was_told = false;
-    pair.leaving.replica.on_listed([&] { was_told = true; });
+    cr_assert(*pair.stored && !pair.is_replicated());
+    bool was_notified = false;
+    pair.leaving.replica.on_listed([&] { was_notified = true; });
     pair.set_view(true);
-    cr_assert(run_until(pair.loop, [&] { return pair.is_level(); }));
-    cr_assert(was_told);
+    cr_assert(run_until(pair.loop, [&] { return pair.is_replicated(); }));
+    cr_assert(was_notified);
     cr_assert(pair.staying.store.turns.count(turn_id("t1")) == 1);
 }
 
-Test(turn_replica, a_write_under_way_is_not_held_by_others) {
+Test(turn_replica, write_in_progress_does_not_count_as_replicated) {
     two_members pair;
-    // The one that stays has learned of the retirement first, and lists often.
+    // The staying member learns of the retirement first and lists often.
     pair.staying.replica.set_view(pair.view(true));
-    cr_assert(run_until(pair.loop, [&] { return pair.is_level(); }));
+    cr_assert(run_until(pair.loop, [&] { return pair.is_replicated(); }));
     pair.leaving.store.held = true;
     pair.store_turn("t1");
     cr_assert(run_until(pair.loop, [&] { return !pair.leaving.store.waiting.empty(); }));
-    cr_assert(!pair.is_level(), "it would be confirmed after the member has left");
+    cr_assert(!pair.is_replicated(), "it would be confirmed after the member has left");
     pair.set_view(true);
     pair.leaving.store.release();
-    cr_assert(run_until(pair.loop, [&] { return pair.stored.has_value() && pair.is_level(); }));
+    cr_assert(
+        run_until(pair.loop, [&] { return pair.stored.has_value() && pair.is_replicated(); }));
     cr_assert(pair.staying.store.turns.count(turn_id("t1")) == 1);
 }
 
-// A fleet that comes back lists all that its members know of each other, or what is new.
-Test(turn_replica, a_restarted_member_asks_from_where_it_was) {
+// After a restart of the fleet, members must list only new changes, not everything.
+Test(turn_replica, restarted_member_lists_from_persisted_position) {
     net::event_loop loop;
     const base::system_clock_source clock;
     std::vector<list_request> asked;
@@ -194,13 +195,13 @@
     cr_assert(asked.back().disk == disk_id("disk of other"), "on another disk it begins anew");
 }
 
-Test(turn_replica, members_at_rest_write_nothing) {
+Test(turn_replica, idle_members_write_nothing) {
     two_members pair;
-    // Both list each other all the time, as they do while one is to be taken away.
+    // Both members list each other frequently, as during a retirement.
     pair.set_view(true);
-    cr_assert(run_until(pair.loop, [&] { return pair.is_level(); }));
+    cr_assert(run_until(pair.loop, [&] { return pair.is_replicated(); }));
     cr_assert(pair.staying.store.writes == 3,
-              "%zu writes: the group that it entered, its voters, one of whom is to leave",
+              "%zu writes: the group that it entered, its voters, one of whom is retiring",
               pair.staying.store.writes);
     net::testing::run_for(pair.loop, std::chrono::milliseconds(300));
     cr_assert(pair.staying.store.writes == 3, "%zu writes", pair.staying.store.writes);
@@ -208,23 +209,23 @@
 
 namespace {
 
-/// One member, alone in the view's group of that number.
-directory::storage_view alone_in(const member& one, std::uint32_t group) {
-    directory::storage_view view{.revision = 1, .members = {one.entry()}, .groups = 3};
+/// A view in which one member is alone in the group of the given number.
+directory::storage_view alone_in(const member& single, std::uint32_t group) {
+    directory::storage_view view{.revision = 1, .members = {single.entry()}, .groups = 3};
     view.members.front().group = group;
     return view;
 }
 
 }  // namespace
 
-Test(turn_replica, a_chain_is_given_turn_by_turn_where_that_is_asked) {
+Test(turn_replica, chain_is_returned_as_records_on_request) {
     net::event_loop loop;
     const base::system_clock_source clock;
-    member one(loop, clock, "one");
-    one.replica.set_view(alone_in(one, 0));
-    cr_assert(one.keep("program", "t1").ok());
-    cr_assert(one.keep("program", "t2", "t1").ok());
-    const auto reply = one.ask<read_reply>(
+    member single(loop, clock, "one");
+    single.replica.set_view(alone_in(single, 0));
+    cr_assert(single.store_turn("program", "t1").ok());
+    cr_assert(single.store_turn("program", "t2", "t1").ok());
+    const auto reply = single.call<read_reply>(
         wire::turn_read, read_request{.turn = turn_id("t2"), .wants_records = true});
     cr_assert(reply.ok() && reply->chain == chain_result::found);
     cr_assert(reply->records.size() == 2 && reply->records[0].turn == turn_id("t1"));
@@ -232,39 +233,41 @@
     cr_assert(reply->chain_text.empty(), "not twice");
 }
 
-Test(turn_replica, a_member_that_enters_another_group_begins_with_nothing) {
+Test(turn_replica, member_that_enters_another_group_starts_empty) {
     net::event_loop loop;
     const base::system_clock_source clock;
-    member one(loop, clock, "one");
-    one.replica.set_view(alone_in(one, 0));
-    cr_assert(one.keep("program", "t1").ok());
-    const disk_id before = one.store.contents.disk;
+    member single(loop, clock, "one");
+    single.replica.set_view(alone_in(single, 0));
+    cr_assert(single.store_turn("program", "t1").ok());
+    const disk_id before = single.store.contents.disk;
 
-    one.replica.set_view(alone_in(one, 2));
-    cr_assert(one.store.turns.empty(), "the disk is empty");
-    cr_assert(one.store.contents.group == 2U);
-    cr_assert(one.store.contents.disk != before, "positions on the old contents are void");
-    const auto reply = one.ask<read_reply>(wire::turn_read, read_request{.turn = turn_id("t1")});
+    single.replica.set_view(alone_in(single, 2));
+    cr_assert(single.store.turns.empty(), "the disk is empty");
+    cr_assert(single.store.contents.group == 2U);
+    cr_assert(single.store.contents.disk != before, "positions on the old contents are void");
+    const auto reply =
+        single.call<read_reply>(wire::turn_read, read_request{.turn = turn_id("t1")});
     cr_assert(reply->chain == chain_result::absent);
     cr_assert(!reply->is_complete, "its word that a turn is absent proves nothing yet");
-    const auto usage = one.ask<usage_reply>(wire::turn_usage,
-                                            usage_request{.program = base::program_id("program")});
+    const auto usage = single.call<usage_reply>(
+        wire::turn_usage, usage_request{.program = base::program_id("program")});
     cr_assert(usage->reservations.empty() && !usage->is_complete);
 }
 
-// It has missed what was confirmed while it was none of the voters: its word that something is not
-// there proves nothing before it has asked the others.
-Test(turn_replica, a_member_that_comes_back_keeps_what_it_has_and_copies_what_it_missed) {
+// The member missed the writes that were confirmed while it was not a voter: a turn that it lacks
+// may exist until it has copied from the others.
+Test(turn_replica, returning_member_keeps_data_and_copies_missed_changes) {
     two_members pair;
     member& back = pair.leaving;
-    cr_assert(back.keep("program", "t1").ok());
+    cr_assert(back.store_turn("program", "t1").ok());
     directory::storage_view without = pair.view(false);
-    std::erase_if(without.members, [&](const auto& one) { return one.node == back.entry().node; });
+    std::erase_if(without.members,
+                  [&](const auto& single) { return single.node == back.entry().node; });
     back.replica.set_view(without);
     pair.staying.replica.set_view(without);
     cr_assert(!back.replica.is_complete() && back.replica.turn_count() == 1);
     cr_assert(back.store.contents.complete == false, "nor after a restart");
-    cr_assert(pair.staying.keep("program", "t2").ok());
+    cr_assert(pair.staying.store_turn("program", "t2").ok());
 
     const directory::storage_view with = pair.view(false);
     back.replica.set_view(with);
@@ -276,46 +279,46 @@
     cr_assert(back.replica.turn_count() == 2);
 }
 
-Test(turn_replica, who_counts_on_replaced_voters_is_refused_and_told_of_the_newer_ones) {
+Test(turn_replica, request_with_replaced_voters_is_rejected_with_newer_view) {
     two_members pair;
-    member& one = pair.staying;
+    member& single = pair.staying;
     const directory::storage_view before = pair.view(false);
-    one.replica.set_view(before);
+    single.replica.set_view(before);
     directory::storage_view after = before;
     after.revision += 1;
     after.members.erase(after.members.begin());
-    one.replica.set_view(after);
+    single.replica.set_view(after);
     const view_stamp outdated = stamp_of(before);
     const reservation wanted{
         .program = base::program_id("program"), .turn = turn_id("t1"), .tokens = 5};
-    const auto reserved = one.ask<reserve_reply>(
+    const auto reserved = single.call<reserve_reply>(
         wire::turn_reserve,
         reserve_request{.wanted = wanted, .previous = {}, .load = {}, .view = outdated});
     cr_assert(reserved.ok() && reserved->newer.has_value());
     cr_assert(reserved->newer->revision == after.revision && reserved->newer->members.size() == 1);
     cr_assert(reserved->reservations.empty());
-    const auto finished = one.ask<finish_reply>(
+    const auto finished = single.call<finish_reply>(
         wire::turn_finish,
         finish_request{.settled = {wanted}, .records = {}, .load = {}, .view = outdated});
     cr_assert(finished.ok() && finished->newer.has_value());
-    const auto usage = one.ask<usage_reply>(
+    const auto usage = single.call<usage_reply>(
         wire::turn_usage, usage_request{.program = wanted.program, .view = outdated});
     cr_assert(usage.ok() && usage->newer.has_value());
-    const auto read =
-        one.ask<read_reply>(wire::turn_read, read_request{.turn = turn_id("t0"), .view = outdated});
+    const auto read = single.call<read_reply>(
+        wire::turn_read, read_request{.turn = turn_id("t0"), .view = outdated});
     cr_assert(read.ok() && read->newer.has_value(), "nor is a turn absent by its word");
-    cr_assert(one.replica.program_count() == 0, "nothing was stored");
-    const auto taken = one.ask<reserve_reply>(
+    cr_assert(single.replica.program_count() == 0, "nothing was stored");
+    const auto taken = single.call<reserve_reply>(
         wire::turn_reserve,
         reserve_request{.wanted = wanted, .previous = {}, .load = {}, .view = stamp_of(after)});
     cr_assert(taken.ok() && !taken->newer.has_value());
-    const auto older_node = one.ask<reserve_reply>(
+    const auto older_node = single.call<reserve_reply>(
         wire::turn_reserve, reserve_request{.wanted = wanted, .previous = {}, .load = {}});
     cr_assert(older_node.ok() && !older_node->newer.has_value(), "older nodes tell no view");
 }
 
-// A restart with the disk forgets nothing that others rely on.
-Test(turn_replica, a_restarted_member_refuses_whom_it_refused_before) {
+// A restart with an intact disk must preserve all state that others rely on.
+Test(turn_replica, restarted_member_still_rejects_outdated_requests) {
     net::event_loop loop;
     const base::system_clock_source clock;
     member first(loop, clock, "first");
@@ -326,7 +329,7 @@
     after.revision = 2;
     first.replica.set_view(before);
     first.replica.set_view(after);
-    cr_assert(first.replica.has_kept_view());
+    cr_assert(first.replica.is_view_persisted());
 
     const auto rpc = net::make_peer_rpc(
         loop,
@@ -349,38 +352,38 @@
               "it knows that there are newer ones, and not yet who they are");
 }
 
-// Else a restart would take the new group's turns for the old one's and drop them.
-Test(turn_replica, nothing_is_confirmed_before_the_disk_knows_the_group) {
+// Otherwise a restart would attribute the new group's turns to the old group and drop them.
+Test(turn_replica, nothing_is_confirmed_before_group_is_persisted) {
     net::event_loop loop;
     const base::system_clock_source clock;
-    member one(loop, clock, "one");
-    one.replica.set_view(alone_in(one, 0));
-    one.store.failing = true;
-    one.replica.set_view(alone_in(one, 1));
-    one.store.failing = false;
-    cr_assert(!one.keep("program", "t1").ok());
-    cr_assert(run_until(loop, [&] { return one.store.contents.group == 1U; }));
-    cr_assert(one.keep("program", "t2").ok());
+    member single(loop, clock, "one");
+    single.replica.set_view(alone_in(single, 0));
+    single.store.failing = true;
+    single.replica.set_view(alone_in(single, 1));
+    single.store.failing = false;
+    cr_assert(!single.store_turn("program", "t1").ok());
+    cr_assert(run_until(loop, [&] { return single.store.contents.group == 1U; }));
+    cr_assert(single.store_turn("program", "t2").ok());
 }
 
-Test(turn_replica, a_write_under_way_when_the_group_changes_is_not_confirmed) {
+Test(turn_replica, write_in_progress_during_group_change_is_not_confirmed) {
     net::event_loop loop;
     const base::system_clock_source clock;
-    member one(loop, clock, "one");
-    one.replica.set_view(alone_in(one, 0));
-    one.store.held = true;
+    member single(loop, clock, "one");
+    single.replica.set_view(alone_in(single, 0));
+    single.store.held = true;
     std::optional<bool> stored;
     finish_request request;
     request.records.push_back({.turn = turn_id("t1"), .input = "in", .output = "out"});
-    const auto call = one.rpc->call(
-        base::node_id("one"), one.rpc->local_endpoint(), wire::turn_finish, wire::encode(request),
-        base::milliseconds{5'000},
+    const auto call = single.rpc->call(
+        base::node_id("one"), single.rpc->local_endpoint(), wire::turn_finish,
+        wire::encode(request), base::milliseconds{5'000},
         {.on_part = nullptr,
          .on_done = [&](const absl::StatusOr<std::string>& reply) { stored = reply.ok(); }});
-    cr_assert(run_until(loop, [&] { return !one.store.waiting.empty(); }));
-    one.replica.set_view(alone_in(one, 1));
-    one.store.release();
+    cr_assert(run_until(loop, [&] { return !single.store.waiting.empty(); }));
+    single.replica.set_view(alone_in(single, 1));
+    single.store.release();
     cr_assert(run_until(loop, [&] { return stored.has_value(); }));
     cr_assert(!*stored, "its data have gone");
-    cr_assert(one.replica.turn_count() == 0);
+    cr_assert(single.replica.turn_count() == 0);
 }
--- a/tests/unit/turns/turn_store_test.cc
+++ b/tests/unit/turns/turn_store_test.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A folder that goes with the test.
+/// A folder that is deleted after the test.
 struct temporary_folder {
     temporary_folder() {
         std::string pattern = std::filesystem::temp_directory_path() / "turn-store-XXXXXX";
@@ -88,7 +88,7 @@
     cr_assert(again.store->read(turn_id("t2")).status().code() == absl::StatusCode::kNotFound);
 }
 
-Test(turn_store, a_start_reads_all_of_a_turn_but_its_texts) {
+Test(turn_store, load_reads_turns_without_texts) {
     const temporary_folder folder;
     {
         opened_store opened(folder.path);
@@ -116,12 +116,12 @@
     cr_assert(again.store->read(turn_id("t2"))->input.size() == 5'000);
 }
 
-Test(turn_store, a_full_disk_refuses_writes_and_takes_them_again_later) {
+Test(turn_store, full_disk_fails_writes_until_space_is_free) {
     const temporary_folder folder;
     opened_store opened(folder.path);
     cr_assert(opened.write(turn_change("t1", "out")).ok());
     std::signal(SIGXFSZ, SIG_IGN);
-    // No file may grow beyond this: writes fail as they do on a full disk.
+    // Limits the file size, so that writes fail as on a full disk.
     const rlimit full{4'096, RLIM_INFINITY};
     cr_assert(::setrlimit(RLIMIT_FSIZE, &full) == 0);
     cr_assert(!opened.write(turn_change("t2", std::string(20'000, 'x'))).ok());
@@ -138,7 +138,7 @@
     cr_assert(opened.store->read(turn_id("t4"))->output == "z");
 }
 
-Test(turn_store, the_group_of_the_contents_lasts) {
+Test(turn_store, group_survives_restart) {
     const temporary_folder folder;
     {
         opened_store first(folder.path);
@@ -151,7 +151,7 @@
     cr_assert(again.store->load()->group == 3U);
 }
 
-Test(turn_store, a_store_emptied_for_another_group_is_a_new_disk) {
+Test(turn_store, store_emptied_for_another_group_gets_new_disk_id) {
     const temporary_folder folder;
     {
         opened_store first(folder.path);
@@ -161,7 +161,7 @@
             {change_number(2), 5, {.program = base::program_id("p"), .turn = turn_id("t1")}});
         change.positions = std::vector<peer_position>{{base::node_id("other"), disk_id("d"), {}}};
         cr_assert(first.write(std::move(change)).ok());
-        // What is stored in the same change belongs to the new group.
+        // Entries of the same change belong to the new group.
         store_change emptying = turn_change("t2", "said after");
         emptying.emptied_for = group_entry{.group = 2, .disk = disk_id("disk-2")};
         cr_assert(first.write(std::move(emptying)).ok());
--- a/tests/unit/turns/view_stamps_test.cc
+++ b/tests/unit/turns/view_stamps_test.cc
@@ -1,5 +1,5 @@
-// Voters of a replica group that change while some nodes have not heard of it: what was confirmed
-// is found by whoever asks a majority, whichever voters it knows.
+// Changes the voters of a replica group while some nodes still know older views. Guards against
+// lost writes: every confirmed write must be found by a read from a majority of any known view.
 #include "pearbarrow/turns/view_stamps.h"
 
 #include <algorithm>
@@ -23,15 +23,15 @@
 
 using write_id = int;
 
-/// Each may be switched off, to see what it is for.
+/// Rules that can be disabled individually to show their effect.
 struct safeguards {
-    bool outdated_are_refused = true;
+    bool outdated_are_rejected = true;
     bool voters_leave_when_settled = true;
     bool returned_count_as_incomplete = true;
     bool sources_know_the_joiner = true;
 };
 
-/// One storage member: what it holds in its own order, and what it knows.
+/// One storage member: its log in local order, and the view that it knows.
 struct model_member {
     base::node_id name;
     bool is_down = false;
@@ -39,9 +39,10 @@
     std::uint64_t voter_since = 1;
     directory::storage_view known;
     std::vector<write_id> log;
-    /// How much of each other's log is here, and who was copied whole since it knew this voter.
+    /// Position in each other member's log, and the complete members copied from since this voter
+    /// was known.
     std::map<base::node_id, std::size_t> taken;
-    std::set<base::node_id> level_with;
+    std::set<base::node_id> caught_up_with;
     std::set<base::node_id> sources;
     view_settlement settlement;
 
@@ -51,7 +52,7 @@
     bool is_voter() const { return this->known.find(this->name) != nullptr; }
 };
 
-/// A write under way: asked of each voter in turn, in any order.
+/// A write in progress; it reaches the voters in any order.
 struct model_write {
     directory::storage_view view;
     std::set<base::node_id> confirmed_by;
@@ -66,7 +67,7 @@
     return view;
 }
 
-/// Members, edges and the register of views. Its steps are drawn, or told one by one.
+/// Members, edges and the register of views. Steps are random or scripted.
 struct world {
     world(std::uint64_t seed, const safeguards& safe, std::size_t voters = 0)
         : random(seed), safe(safe) {
@@ -77,7 +78,7 @@
         this->edges.assign(3, this->views.back());
     }
 
-    /// False: something confirmed was not found.
+    /// Returns false if a confirmed write was not found.
     bool run(int steps) {
         for (int step = 0; step < steps; ++step) {
             if (!this->act()) {
@@ -88,25 +89,25 @@
     }
 
     bool act() {
-        // Few listings, since they mend what the rules are for.
-        const std::uint64_t drawn = this->random.below(100);
-        if (drawn < 14) {
+        // Listings are rare because they repair the states that the rules protect against.
+        const std::uint64_t roll = this->random.below(100);
+        if (roll < 14) {
             this->learn_member();
-        } else if (drawn < 15) {
-            // Edges hear late: that is the matter of this test.
+        } else if (roll < 15) {
+            // Edges learn new views late, which is the case under test.
             this->learn_edge();
-        } else if (drawn < 25) {
+        } else if (roll < 25) {
             this->begin_write();
-        } else if (drawn < 55) {
+        } else if (roll < 55) {
             this->deliver();
-        } else if (drawn < 65) {
+        } else if (roll < 65) {
             this->list();
-        } else if (drawn < 77) {
+        } else if (roll < 77) {
             this->propose_without();
-        } else if (drawn < 85) {
+        } else if (roll < 85) {
             this->propose_with();
-        } else if (drawn < 87) {
-            this->stop_or_wake();
+        } else if (roll < 87) {
+            this->stop_or_restart();
         } else {
             return this->read();
         }
@@ -122,33 +123,33 @@
     model_member& any_member() { return this->any_of(this->members).second; }
 
     void add_member(const base::node_id& name) {
-        model_member& one = this->members[name];
-        one.name = name;
-        this->take_view(one, this->views.back());
+        model_member& member = this->members[name];
+        member.name = name;
+        this->take_view(member, this->views.back());
     }
 
-    void take_view(model_member& one, const directory::storage_view& view) {
-        one.known = view;
-        one.sources.clear();
-        if (!one.is_voter()) {
-            one.settlement.forget();
-            one.voter_since = 0;
-            one.is_complete = one.is_complete && !this->safe.returned_count_as_incomplete;
+    void take_view(model_member& member, const directory::storage_view& view) {
+        member.known = view;
+        member.sources.clear();
+        if (!member.is_voter()) {
+            member.settlement.reset();
+            member.voter_since = 0;
+            member.is_complete = member.is_complete && !this->safe.returned_count_as_incomplete;
             return;
         }
-        one.voter_since = one.voter_since == 0 ? view.revision : one.voter_since;
-        one.settlement.set_voters(view, one.name);
+        member.voter_since = member.voter_since == 0 ? view.revision : member.voter_since;
+        member.settlement.set_voters(view, member.name);
     }
 
-    /// Some view between the known and the newest.
+    /// Returns a random view between the known and the newest one.
     const directory::storage_view& newer_than(std::uint64_t revision) {
         const std::size_t newer = this->views.size() - revision;
         return this->views[revision - 1 + this->random.below(newer + 1)];
     }
     void learn_member() {
-        model_member& one = this->any_member();
-        if (!one.is_down && one.known.revision < this->views.size()) {
-            this->take_view(one, this->newer_than(one.known.revision));
+        model_member& member = this->any_member();
+        if (!member.is_down && member.known.revision < this->views.size()) {
+            this->take_view(member, this->newer_than(member.known.revision));
         }
     }
     void learn_edge() {
@@ -162,7 +163,7 @@
         if (this->writes.empty()) {
             return;
         }
-        // Mostly one of the latest.
+        // Usually one of the latest writes.
         const std::size_t latest = std::min<std::size_t>(this->writes.size(), 4);
         const std::size_t among = this->random.below(4) == 0 ? this->writes.size() : latest;
         const auto id =
@@ -171,21 +172,21 @@
         this->store(id, this->members.at(this->any_of(write.view.members).node));
     }
 
-    void store(write_id id, model_member& one) {
+    void store(write_id id, model_member& member) {
         model_write& write = this->writes[static_cast<std::size_t>(id)];
-        if (one.is_down) {
+        if (member.is_down) {
             return;
         }
-        if (this->refuses(one, write.view)) {
-            // Whoever writes goes on among the voters that it is told of.
-            write.view = one.known;
+        if (this->rejects(member, write.view)) {
+            // The writer continues with the voters of the returned view.
+            write.view = member.known;
         } else {
-            if (!one.holds(id)) {
-                one.log.push_back(id);
+            if (!member.holds(id)) {
+                member.log.push_back(id);
             }
-            // Others' word that they have it counts for nothing while they may lack something else.
-            if (one.is_complete) {
-                write.confirmed_by.insert(one.name);
+            // Confirmations do not count while the member may lack other writes.
+            if (member.is_complete) {
+                write.confirmed_by.insert(member.name);
             }
         }
         const auto stored = std::count_if(
@@ -195,40 +196,42 @@
             write.is_confirmed || static_cast<std::size_t>(stored) > write.view.members.size() / 2;
     }
 
-    bool refuses(const model_member& one, const directory::storage_view& asked) const {
-        return this->safe.outdated_are_refused && is_outdated(stamp_of(asked), stamp_of(one.known));
+    bool rejects(const model_member& member, const directory::storage_view& asked) const {
+        return this->safe.outdated_are_rejected &&
+               is_outdated(stamp_of(asked), stamp_of(member.known));
     }
 
     void list() { this->list(this->any_member(), this->any_member()); }
 
-    void list(model_member& asker, model_member& other) {
-        if (&asker == &other || asker.is_down || other.is_down ||
-            asker.known.find(other.name) == nullptr) {
+    void list(model_member& requester, model_member& other) {
+        if (&requester == &other || requester.is_down || other.is_down ||
+            requester.known.find(other.name) == nullptr) {
             return;
         }
-        std::size_t& taken = asker.taken[other.name];
-        other.settlement.note_held(asker.name, change_number(taken));
+        std::size_t& taken = requester.taken[other.name];
+        other.settlement.record_stored(requester.name, change_number(taken));
         for (; taken < other.log.size(); ++taken) {
             const write_id write = other.log[taken];
-            if (!asker.holds(write)) {
-                asker.log.push_back(write);
+            if (!requester.holds(write)) {
+                requester.log.push_back(write);
             }
         }
-        const view_stamp told = stamp_of(other.known);
-        asker.level_with.insert(other.name);
-        asker.settlement.note_listed(
-            other.name, {.view = told, .is_complete = other.is_complete, .is_level = true});
+        const view_stamp other_view = stamp_of(other.known);
+        requester.caught_up_with.insert(other.name);
+        requester.settlement.record_listing(
+            other.name,
+            {.view = other_view, .is_complete = other.is_complete, .is_caught_up = true});
         const bool knows_joiner =
-            !this->safe.sources_know_the_joiner || knows_since(told, asker.voter_since);
+            !this->safe.sources_know_the_joiner || knows_since(other_view, requester.voter_since);
         if (other.is_complete && knows_joiner) {
-            asker.sources.insert(other.name);
+            requester.sources.insert(other.name);
         }
-        if (asker.is_voter() &&
-            asker.sources.size() >= sources_needed(asker.known.members.size())) {
-            asker.is_complete = true;
+        if (requester.is_voter() &&
+            requester.sources.size() >= sources_needed(requester.known.members.size())) {
+            requester.is_complete = true;
         }
-        for (model_member* one : {&asker, &other}) {
-            one->settlement.advance(one->is_complete, change_number(one->log.size()));
+        for (model_member* member : {&requester, &other}) {
+            member->settlement.advance(member->is_complete, change_number(member->log.size()));
         }
     }
 
@@ -236,32 +239,32 @@
         next.revision = this->views.size() + 1;
         this->views.push_back(std::move(next));
     }
-    bool may_propose(const model_member& one) const {
-        return !one.is_down && one.known.revision == this->views.size();
+    bool may_propose(const model_member& member) const {
+        return !member.is_down && member.known.revision == this->views.size();
     }
 
-    /// Takes out some other member: it may be dead, or only cut off from this one.
+    /// Removes a random other member, which may be dead or only partitioned.
     void propose_without() {
-        const model_member& judge = this->any_member();
-        this->propose_without(judge, this->any_of(judge.known.members).node);
+        const model_member& proposer = this->any_member();
+        this->propose_without(proposer, this->any_of(proposer.known.members).node);
     }
 
-    void propose_without(const model_member& judge, const base::node_id& out) {
+    void propose_without(const model_member& proposer, const base::node_id& out) {
         const bool is_settled =
-            judge.settlement.is_settled() || !this->safe.voters_leave_when_settled;
-        if (!this->may_propose(judge) || !judge.is_voter() || !judge.is_complete || !is_settled ||
-            judge.level_with.size() + 1 < judge.known.majority() ||
-            judge.known.members.size() <= 2) {
+            proposer.settlement.is_settled() || !this->safe.voters_leave_when_settled;
+        if (!this->may_propose(proposer) || !proposer.is_voter() || !proposer.is_complete ||
+            !is_settled || proposer.caught_up_with.size() + 1 < proposer.known.majority() ||
+            proposer.known.members.size() <= 2) {
             return;
         }
-        directory::storage_view next = judge.known;
-        if (out != judge.name) {
+        directory::storage_view next = proposer.known;
+        if (out != proposer.name) {
             std::erase_if(next.members, [&](const auto& voter) { return voter.node == out; });
             this->publish(std::move(next));
         }
     }
 
-    /// One that was taken out comes back, or a new one joins.
+    /// Lets a removed member rejoin or a new one join.
     void propose_with() {
         if (this->random.below(8) == 0 && this->members.size() < 10) {
             const base::node_id name("m" + std::to_string(this->members.size()));
@@ -271,28 +274,28 @@
         this->propose_with(this->any_member());
     }
 
-    void propose_with(const model_member& one) {
-        if (this->may_propose(one) && !one.is_voter()) {
-            directory::storage_view next = one.known;
-            next.members.push_back({.node = one.name, .address = {}});
+    void propose_with(const model_member& member) {
+        if (this->may_propose(member) && !member.is_voter()) {
+            directory::storage_view next = member.known;
+            next.members.push_back({.node = member.name, .address = {}});
             this->publish(std::move(next));
         }
     }
 
-    void stop_or_wake() {
-        model_member& one = this->any_member();
-        one.is_down = !one.is_down;
+    void stop_or_restart() {
+        model_member& member = this->any_member();
+        member.is_down = !member.is_down;
     }
 
-    /// Somebody asks a majority of the voters that it knows for something that was confirmed.
+    /// Reads all confirmed writes from a majority of the voters that the reader knows.
     bool read() { return this->read(this->any_of(this->edges)); }
 
     bool read(const directory::storage_view& view) {
         std::vector<const model_member*> answering;
         for (const auto& voter : view.members) {
-            const model_member& one = this->members.at(voter.node);
-            if (!one.is_down && one.is_complete && !this->refuses(one, view)) {
-                answering.push_back(&one);
+            const model_member& member = this->members.at(voter.node);
+            if (!member.is_down && member.is_complete && !this->rejects(member, view)) {
+                answering.push_back(&member);
             }
         }
         const std::size_t majority = view.members.size() / 2 + 1;
@@ -302,7 +305,7 @@
         for (std::size_t write = 0; write < this->writes.size(); ++write) {
             const auto lacking = static_cast<std::size_t>(std::count_if(
                 answering.begin(), answering.end(),
-                [&](const auto* one) { return !one->holds(static_cast<write_id>(write)); }));
+                [&](const auto* member) { return !member->holds(static_cast<write_id>(write)); }));
             if (this->writes[write].is_confirmed && lacking >= majority) {
                 return false;
             }
@@ -312,14 +315,15 @@
 
     base::random_source random;
     safeguards safe;
-    /// By revision, from 1.
+    /// Views by revision, starting at 1.
     std::vector<directory::storage_view> views;
     std::map<base::node_id, model_member> members;
     std::vector<directory::storage_view> edges;
     std::vector<model_write> writes;
 };
 
-/// Of so many seeds, those in which something confirmed is not found. VIEW_SEEDS: how many.
+/// Returns the number of seeds for which a confirmed write is lost. VIEW_SEEDS sets the number of
+/// seeds.
 int seeds_that_lose(const safeguards& safe) {
     const char* wanted = std::getenv("VIEW_SEEDS");
     const int seeds = wanted == nullptr ? 1'000 : std::atoi(wanted);
@@ -338,25 +342,26 @@
 
 }  // namespace
 
-Test(view_stamps, what_was_confirmed_is_found_whoever_has_heard_of_which_voters) {
+Test(view_stamps, confirmed_writes_are_found_under_any_known_view) {
     const int lost = seeds_that_lose({});
     cr_assert(lost == 0, "%d seeds", lost);
 }
 
-// Without any of the rules 271 of 20,000 seeds lose something, with all of them none.
-Test(view_stamps, without_the_rules_something_confirmed_is_lost) {
-    const safeguards none{.outdated_are_refused = false,
+// Without any of the rules 271 of 20,000 seeds lose a confirmed write, with all of them none.
+Test(view_stamps, without_the_rules_confirmed_writes_are_lost) {
+    const safeguards none{.outdated_are_rejected = false,
                           .voters_leave_when_settled = false,
                           .returned_count_as_incomplete = false,
                           .sources_know_the_joiner = false};
     cr_assert(seeds_that_lose(none) > 0);
 }
 
-// A rule's case, told step by step: five voters m0 to m4.
+// One scripted case per rule, with five voters m0 to m4.
 namespace {
 
-struct told_world : world {
-    explicit told_world(const safeguards& safe, std::size_t voters = 5) : world(1, safe, voters) {}
+struct scripted_world : world {
+    explicit scripted_world(const safeguards& safe, std::size_t voters = 5)
+        : world(1, safe, voters) {}
 
     model_member& of(int index) {
         return this->members.at(base::node_id("m" + std::to_string(index)));
@@ -366,17 +371,17 @@
             this->take_view(this->of(index), this->views.back());
         }
     }
-    /// The voters list each other, twice: what the first round has copied shows in the second.
+    /// Lets the voters list each other twice; the second round reports what the first has copied.
     void list_all(std::initializer_list<int> who) {
         for (int round = 0; round < 2; ++round) {
-            for (const int asker : who) {
+            for (const int requester : who) {
                 for (const int other : who) {
-                    this->list(this->of(asker), this->of(other));
+                    this->list(this->of(requester), this->of(other));
                 }
             }
         }
     }
-    /// Whoever knows the first voters writes, and these are asked.
+    /// Writes with the first view and delivers the write to the given members.
     void write_by_first_view(std::initializer_list<int> at) {
         this->writes.push_back({this->views.front(), {}, false});
         for (const int index : at) {
@@ -386,140 +391,141 @@
     bool is_found() { return this->read(this->views.back()); }
 };
 
-/// m3 and m4 are taken out, and the three others know it.
-void take_out_two(told_world& told) {
-    told.list_all({0, 1, 2, 3, 4});
-    told.propose_without(told.of(0), told.of(4).name);
-    told.learn({0, 1, 2, 3});
-    told.list_all({0, 1, 2, 3});
-    told.propose_without(told.of(0), told.of(3).name);
-    told.learn({0, 1, 2});
-    cr_assert(told.views.size() == 3);
+/// Removes m3 and m4; the three other members know it.
+void remove_two(scripted_world& script) {
+    script.list_all({0, 1, 2, 3, 4});
+    script.propose_without(script.of(0), script.of(4).name);
+    script.learn({0, 1, 2, 3});
+    script.list_all({0, 1, 2, 3});
+    script.propose_without(script.of(0), script.of(3).name);
+    script.learn({0, 1, 2});
+    cr_assert(script.views.size() == 3);
 }
 
 bool finds_what_an_outdated_edge_wrote(const safeguards& safe) {
-    told_world told(safe);
-    take_out_two(told);
-    // m3 and m4 are cut off from the others, not from the edge.
-    told.write_by_first_view({4, 3, 2});
-    return told.is_found();
+    scripted_world script(safe);
+    remove_two(script);
+    // m3 and m4 are partitioned from the other members, but not from the edge.
+    script.write_by_first_view({4, 3, 2});
+    return script.is_found();
 }
 
 bool finds_what_was_written_before_two_left(const safeguards& safe) {
-    told_world told(safe);
-    told.list_all({0, 1, 2, 3, 4});
-    told.write_by_first_view({2, 3, 4});
-    cr_assert(told.writes.front().is_confirmed);
-    told.propose_without(told.of(0), told.of(4).name);
-    told.learn({0, 1, 2, 3});
-    told.propose_without(told.of(0), told.of(3).name);
-    told.learn({0, 1, 2});
-    return told.is_found();
+    scripted_world script(safe);
+    script.list_all({0, 1, 2, 3, 4});
+    script.write_by_first_view({2, 3, 4});
+    cr_assert(script.writes.front().is_confirmed);
+    script.propose_without(script.of(0), script.of(4).name);
+    script.learn({0, 1, 2, 3});
+    script.propose_without(script.of(0), script.of(3).name);
+    script.learn({0, 1, 2});
+    return script.is_found();
 }
 
 bool finds_what_was_written_while_two_were_out(const safeguards& safe) {
-    told_world told(safe);
-    take_out_two(told);
-    told.writes.push_back({told.views.back(), {}, false});
-    told.store(0, told.of(0));
-    told.store(0, told.of(1));
-    cr_assert(told.writes.front().is_confirmed);
+    scripted_world script(safe);
+    remove_two(script);
+    script.writes.push_back({script.views.back(), {}, false});
+    script.store(0, script.of(0));
+    script.store(0, script.of(1));
+    cr_assert(script.writes.front().is_confirmed);
     for (const int back : {3, 4}) {
-        told.learn({back});
-        told.propose_with(told.of(back));
-        told.learn({0, 1, 2, 3, 4});
+        script.learn({back});
+        script.propose_with(script.of(back));
+        script.learn({0, 1, 2, 3, 4});
     }
-    cr_assert(told.views.size() == 5);
-    return told.is_found();
+    cr_assert(script.views.size() == 5);
+    return script.is_found();
 }
 
 bool finds_what_was_written_unheard_of_the_joiners(const safeguards& safe) {
-    told_world told(safe, 3);
+    scripted_world script(safe, 3);
     for (const int joiner : {3, 4}) {
-        told.add_member(base::node_id("m" + std::to_string(joiner)));
-        told.of(joiner).is_complete = false;
-        told.propose_with(told.of(joiner));
-        told.learn({3});
+        script.add_member(base::node_id("m" + std::to_string(joiner)));
+        script.of(joiner).is_complete = false;
+        script.propose_with(script.of(joiner));
+        script.learn({3});
     }
-    told.learn({4});
-    told.list(told.of(3), told.of(0));
-    told.list(told.of(3), told.of(1));
-    told.list(told.of(3), told.of(2));
+    script.learn({4});
+    script.list(script.of(3), script.of(0));
+    script.list(script.of(3), script.of(1));
+    script.list(script.of(3), script.of(2));
     for (const int other : {0, 1, 2}) {
-        told.list(told.of(4), told.of(other));
+        script.list(script.of(4), script.of(other));
     }
-    // m0 and m1 have not heard that there are five.
-    told.write_by_first_view({0, 1});
-    cr_assert(told.writes.front().is_confirmed);
-    return told.is_found();
+    // m0 and m1 do not know yet that there are five voters.
+    script.write_by_first_view({0, 1});
+    cr_assert(script.writes.front().is_confirmed);
+    return script.is_found();
 }
 
 }  // namespace
 
-Test(view_stamps, a_majority_of_replaced_voters_confirms_nothing) {
+Test(view_stamps, majority_of_replaced_voters_confirms_nothing) {
     cr_assert(finds_what_an_outdated_edge_wrote({}));
-    cr_assert(!finds_what_an_outdated_edge_wrote({.outdated_are_refused = false}));
+    cr_assert(!finds_what_an_outdated_edge_wrote({.outdated_are_rejected = false}));
 }
 
-Test(view_stamps, a_second_voter_leaves_once_the_first_ones_writes_are_on_others) {
+Test(view_stamps, second_voter_leaves_after_earlier_writes_are_replicated) {
     cr_assert(finds_what_was_written_before_two_left({}));
     cr_assert(!finds_what_was_written_before_two_left({.voters_leave_when_settled = false}));
 }
 
-Test(view_stamps, who_comes_back_has_missed_something) {
+Test(view_stamps, returning_member_is_incomplete) {
     cr_assert(finds_what_was_written_while_two_were_out({}));
     cr_assert(!finds_what_was_written_while_two_were_out({.returned_count_as_incomplete = false}));
 }
 
-Test(view_stamps, who_joins_copies_from_those_that_know_it) {
+Test(view_stamps, joining_member_copies_from_members_that_know_it) {
     cr_assert(finds_what_was_written_unheard_of_the_joiners({}));
     cr_assert(!finds_what_was_written_unheard_of_the_joiners({.sources_know_the_joiner = false}));
 }
 
-Test(view_stamps, a_stamp_names_the_voters_and_not_their_order) {
+Test(view_stamps, stamp_does_not_depend_on_voter_order) {
     directory::storage_view view = view_of(7, 4);
     const view_stamp stamp = stamp_of(view);
     std::reverse(view.members.begin(), view.members.end());
     cr_assert(stamp_of(view) == stamp);
     view.members.front().retiring = true;
-    cr_assert(stamp_of(view).voters != stamp.voters, "who is to leave is no voter");
+    cr_assert(stamp_of(view).voters != stamp.voters, "a retiring member is not a voter");
 }
 
-Test(view_stamps, outdated_is_who_counts_on_other_voters_of_an_older_view) {
+Test(view_stamps, older_view_with_other_voters_is_outdated) {
     const view_stamp known = stamp_of(view_of(7, 4));
     cr_assert(is_outdated(stamp_of(view_of(6, 5)), known));
     cr_assert(!is_outdated(stamp_of(view_of(6, 4)), known), "another group has changed");
-    cr_assert(!is_outdated(stamp_of(view_of(8, 5)), known), "the member is behind, not the asker");
-    cr_assert(!is_outdated({}, known), "older nodes tell no view");
+    cr_assert(!is_outdated(stamp_of(view_of(8, 5)), known),
+              "the member is behind, not the requester");
+    cr_assert(!is_outdated({}, known), "older nodes send no view");
 }
 
-Test(view_stamps, voters_are_settled_once_a_majority_holds_what_a_majority_held) {
+Test(view_stamps, voters_are_settled_once_a_majority_stores_copied_writes) {
     view_settlement settlement;
     settlement.set_voters(view_of(5, 5), base::node_id("m0"));
     const auto listed = [&](const char* name, std::uint64_t revision) {
-        settlement.note_listed(
-            base::node_id(name),
-            {.view = {.revision = revision, .voters = 1}, .is_complete = true, .is_level = true});
+        settlement.record_listing(base::node_id(name), {.view = {.revision = revision, .voters = 1},
+                                                        .is_complete = true,
+                                                        .is_caught_up = true});
         settlement.advance(true, change_number(40));
     };
     const auto held = [&](const char* name, std::uint64_t through) {
-        settlement.note_held(base::node_id(name), change_number(through));
+        settlement.record_stored(base::node_id(name), change_number(through));
         settlement.advance(true, change_number(50));
     };
     held("m1", 40);
     held("m2", 40);
     listed("m1", 5);
     listed("m3", 4);
-    cr_assert(!settlement.is_settled(), "m3 may still confirm to whoever counts on earlier voters");
+    cr_assert(!settlement.is_settled(), "m3 may still confirm to senders with earlier voters");
     listed("m2", 6);
-    cr_assert(settlement.is_settled(), "m1 and m2 hold all that was here");
+    cr_assert(settlement.is_settled(), "m1 and m2 have stored the whole log");
     settlement.set_voters(view_of(9, 5), base::node_id("m0"));
     cr_assert(settlement.is_settled(), "the same voters");
     settlement.set_voters(view_of(10, 4), base::node_id("m0"));
     cr_assert(!settlement.is_settled());
     listed("m1", 10);
     listed("m2", 10);
-    cr_assert(!settlement.is_settled(), "nobody is known to hold what is here");
+    cr_assert(!settlement.is_settled(), "no member is known to have stored this log");
     held("m1", 39);
     held("m2", 40);
     cr_assert(!settlement.is_settled());
