--- a/src/pearbarrow/turns/replica_groups.h
+++ b/src/pearbarrow/turns/replica_groups.h
@@ -45,8 +45,9 @@
                                  const directory::storage_member& newcomer,
                                  std::optional<std::uint32_t> former);
 
-/// Like `group_for_newcomer`, but returns nothing if the newcomer would break the zone tolerance of
-/// every group that has it now. The newcomer then waits for a member of another zone to join.
+/// Like `group_for_newcomer`, but chooses a group whose zone tolerance the newcomer does not break.
+/// Returns nothing if every group survives the loss of the tolerated zones and none would still do
+/// so with the newcomer, which then waits for a member of another zone to join.
 std::optional<std::uint32_t> group_to_enter(const directory::storage_view& view,
                                             const directory::storage_member& newcomer,
                                             std::optional<std::uint32_t> former,
