--- a/tests/unit/forward/backend_pool_test.cc
+++ b/tests/unit/forward/backend_pool_test.cc
@@ -45,13 +45,13 @@
     cr_assert(chosen.size() == 3);
 }
 
-Test(backend_pool, an_equal_one_in_the_own_zone_goes_first) {
+Test(backend_pool, equally_loaded_back_end_in_local_zone_is_preferred) {
     pool_fixture fixture({backend_of("near", "a"), backend_of("far", "b")});
     cr_assert(fixture.choose() == "near");
-    cr_assert(fixture.choose() == "far", "the near one is loaded now");
+    cr_assert(fixture.choose() == "far", "the back end in the local zone is loaded now");
 }
 
-Test(backend_pool, a_key_keeps_its_back_end_until_that_is_full) {
+Test(backend_pool, key_keeps_its_back_end_until_it_is_full) {
     pool_fixture fixture({backend_of("1"), backend_of("2"), backend_of("3")});
     const std::string home = fixture.choose("program");
     for (int index = 0; index < 3; ++index) {
@@ -60,7 +60,7 @@
     cr_assert(fixture.choose("program") != home);
 }
 
-Test(backend_pool, draining_and_excluded_ones_get_nothing) {
+Test(backend_pool, draining_and_excluded_back_ends_get_no_requests) {
     directory::backend draining = backend_of("1");
     draining.draining = true;
     pool_fixture fixture({draining, backend_of("2")});
@@ -68,43 +68,43 @@
     cr_assert(fixture.choose("", {"2"}).empty());
 }
 
-Test(backend_pool, one_that_refuses_rests_but_is_better_than_none) {
+Test(backend_pool, rejecting_back_end_is_in_backoff_but_better_than_none) {
     pool_fixture fixture({backend_of("1"), backend_of("2")});
     const std::string refusing = fixture.choose();
-    fixture.pool.ended(directory::backend_run(refusing), attempt_result::refused, milliseconds{1},
-                       fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_run(refusing), attempt_result::refused,
+                                  milliseconds{1}, fixture.now);
     for (int index = 0; index < 5; ++index) {
         cr_assert(fixture.choose() != refusing);
     }
     cr_assert(fixture.choose("", {refusing == "1" ? "2" : "1"}) == refusing);
     fixture.now += milliseconds{5'000};
-    cr_assert(fixture.choose() == refusing, "rested, and without load");
+    cr_assert(fixture.choose() == refusing, "the backoff has ended and it has no load");
 }
 
-Test(backend_pool, a_removed_one_is_forgotten_when_its_requests_have_ended) {
+Test(backend_pool, removed_back_end_is_dropped_after_its_last_request) {
     pool_fixture fixture({backend_of("1"), backend_of("2")});
     const std::string first = fixture.choose();
     fixture.pool.set_backends({.revision = 2, .backends = {}}, fixture.now);
     fixture.now += milliseconds{1'800};
     cr_assert(fixture.choose().empty());
-    fixture.pool.ended(directory::backend_run(first), attempt_result::served, milliseconds{1},
-                       fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_run(first), attempt_result::served,
+                                  milliseconds{1}, fixture.now);
     cr_assert(fixture.pool.backend_count("service") == 0);
 }
 
-Test(backend_pool, one_that_leaves_requests_unanswered_is_passed_over) {
+Test(backend_pool, silent_back_end_is_skipped) {
     pool_fixture fixture({backend_of("1"), backend_of("2")});
-    const std::string silent = fixture.choose();
-    const base::instant began = fixture.now;
+    const std::string silent_backend = fixture.choose();
+    const base::instant started_at = fixture.now;
     fixture.now += milliseconds{800};
     for (int index = 0; index < 5; ++index) {
-        cr_assert(fixture.choose() != silent);
+        cr_assert(fixture.choose() != silent_backend);
         fixture.now += milliseconds{100};
-        fixture.pool.answered(directory::backend_run(silent == "1" ? "2" : "1"),
-                              fixture.now - milliseconds{100});
+        fixture.pool.on_response_head(directory::backend_run(silent_backend == "1" ? "2" : "1"),
+                                      fixture.now - milliseconds{100});
     }
-    fixture.pool.answered(directory::backend_run(silent), began);
-    cr_assert(fixture.choose() == silent, "it has answered, and has the least load");
+    fixture.pool.on_response_head(directory::backend_run(silent_backend), started_at);
+    cr_assert(fixture.choose() == silent_backend, "it has responded and has the lowest load");
 }
 
 namespace {
@@ -119,28 +119,28 @@
 
 }  // namespace
 
-Test(backend_pool, back_ends_that_vanish_together_serve_on_for_a_while) {
+Test(backend_pool, back_ends_that_vanish_together_are_used_during_grace_period) {
     pool_fixture fixture({backend_of("1"), backend_of("2"), backend_of("3")});
     fixture.pool.set_backends(list_of({}, 2), fixture.now);
     const std::string first = fixture.choose();
-    cr_assert(!first.empty(), "an empty list after an outage proves nothing");
-    fixture.pool.answered(directory::backend_run(first), fixture.now);
-    fixture.pool.ended(directory::backend_run(first), attempt_result::served, milliseconds{1},
-                       fixture.now);
+    cr_assert(!first.empty(), "an empty list may be caused by an outage");
+    fixture.pool.on_response_head(directory::backend_run(first), fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_run(first), attempt_result::served,
+                                  milliseconds{1}, fixture.now);
     fixture.now += milliseconds{1'000};
     fixture.pool.set_backends(list_of({"1"}, 3), fixture.now);
     std::set<std::string> chosen;
     for (int index = 0; index < 6; ++index) {
         chosen.insert(fixture.choose());
     }
-    cr_assert(chosen.size() == 3, "the first one back does not take the load of all");
+    cr_assert(chosen.size() == 3, "the first listed back end does not receive all load");
     fixture.now += milliseconds{800};
     for (int index = 0; index < 6; ++index) {
-        cr_assert(fixture.choose() == "1", "those still missing are gone");
+        cr_assert(fixture.choose() == "1", "back ends that are still missing are removed");
     }
 }
 
-Test(backend_pool, one_that_vanishes_alone_gets_nothing_more) {
+Test(backend_pool, single_vanished_back_end_gets_no_requests) {
     pool_fixture fixture({backend_of("1"), backend_of("2"), backend_of("3"), backend_of("4")});
     fixture.pool.set_backends(list_of({"1", "2", "3"}, 2), fixture.now);
     for (int index = 0; index < 12; ++index) {
@@ -148,7 +148,7 @@
     }
 }
 
-Test(backend_pool, those_that_drained_before_they_vanished_get_nothing_more) {
+Test(backend_pool, back_ends_that_drained_before_vanishing_get_no_requests) {
     pool_fixture fixture({backend_of("1"), backend_of("2"), backend_of("3")});
     directory::backend_list draining = list_of({"1", "2", "3"}, 2);
     draining.backends["2"].draining = true;
@@ -160,30 +160,30 @@
     }
 }
 
-Test(backend_pool, one_whose_answers_fail_is_passed_over_but_for_trials) {
+Test(backend_pool, failing_back_end_gets_only_trial_requests) {
     pool_fixture fixture({backend_of("bad"), backend_of("good")});
     for (int index = 0; index < 3; ++index) {
         cr_assert(fixture.pool.choose(
             {.service = "service", .affinity_key = {}, .excluded = {"good"}}, fixture.now));
-        fixture.pool.answered(directory::backend_run("bad"), fixture.now);
-        fixture.pool.ended(directory::backend_run("bad"), attempt_result::failed, milliseconds{1},
-                           fixture.now);
+        fixture.pool.on_response_head(directory::backend_run("bad"), fixture.now);
+        fixture.pool.on_attempt_ended(directory::backend_run("bad"), attempt_result::failed,
+                                      milliseconds{1}, fixture.now);
     }
     cr_assert(fixture.pool.failing_count(fixture.now) == 1);
     int trials = 0;
     for (int index = 0; index < 100; ++index) {
         const std::string chosen = fixture.choose();
         trials += chosen == "bad" ? 1 : 0;
-        fixture.pool.answered(directory::backend_run(chosen), fixture.now);
-        fixture.pool.ended(directory::backend_run(chosen), attempt_result::abandoned,
-                           milliseconds{1}, fixture.now);
+        fixture.pool.on_response_head(directory::backend_run(chosen), fixture.now);
+        fixture.pool.on_attempt_ended(directory::backend_run(chosen), attempt_result::abandoned,
+                                      milliseconds{1}, fixture.now);
     }
-    cr_assert(trials < 20, "an idle one that fails at once must not draw the requests");
+    cr_assert(trials < 20, "an idle back end that fails immediately must not attract requests");
     fixture.now += milliseconds{3'000};
-    cr_assert(fixture.pool.failing_count(fixture.now) == 0, "forgiven after some time");
+    cr_assert(fixture.pool.failing_count(fixture.now) == 0, "failures expire");
 }
 
-Test(backend_pool, failures_that_other_nodes_saw_count) {
+Test(backend_pool, failures_reported_by_other_nodes_are_counted) {
     pool_fixture fixture({backend_of("bad"), backend_of("good")});
     dispatch::shared_load others({});
     fixture.pool.set_shared_load(others);
@@ -198,27 +198,27 @@
 
 namespace {
 
-/// What a node whose attempt has ended so tells the others.
-dispatch::load_totals told_after(attempt_result result, milliseconds silence) {
+/// Load report of a node after an attempt at `dead` with this result.
+dispatch::load_totals reported_after(attempt_result result, milliseconds silence) {
     pool_fixture node({backend_of("dead"), backend_of("good")});
     const auto chosen = node.pool.choose(
         {.service = "service", .affinity_key = {}, .excluded = {"good"}}, node.now);
     cr_assert(chosen.has_value());
-    const base::instant began = node.now;
+    const base::instant started_at = node.now;
     node.now += silence;
     cr_assert(node.pool.is_long_silence(chosen->target.run(), silence) ==
               (result != attempt_result::abandoned));
-    node.pool.answered(chosen->target.run(), began);
-    node.pool.ended(chosen->target.run(), result, silence, node.now);
+    node.pool.on_response_head(chosen->target.run(), started_at);
+    node.pool.on_attempt_ended(chosen->target.run(), result, silence, node.now);
     return {.is_given = true, .gathered_ms = 1'000, .loads = node.pool.own_loads(node.now)};
 }
 
-/// Of 100 requests of a program whose turn before ran at that back end, as many as it gets.
-int requests_at_dead(const dispatch::load_totals& told) {
+/// Returns how many of 100 requests of a program go to `dead`, which executed its previous turn.
+int requests_at_dead(const dispatch::load_totals& reported) {
     pool_fixture node({backend_of("dead"), backend_of("good")});
     dispatch::shared_load others({});
     node.pool.set_shared_load(others);
-    others.take(told, node.now);
+    others.take(reported, node.now);
     int count = 0;
     for (int index = 0; index < 100; ++index) {
         auto chosen = node.pool.choose({.service = "service",
@@ -227,8 +227,8 @@
                                         .place = {},
                                         .without_permit = {},
                                         .prompt_tokens = 500,
-                                        .begins = false,
-                                        .earlier = dispatch::key_of("dead")},
+                                        .is_first = false,
+                                        .previous_backend = dispatch::key_of("dead")},
                                        node.now);
         count += chosen->target.id == "dead" ? 1 : 0;
         node.pool.withdraw(*chosen, node.now, node.now);
@@ -238,40 +238,41 @@
 
 }  // namespace
 
-// A program's tries come by other nodes, which all know where its turn before ran.
-Test(backend_pool, who_was_left_in_silence_is_passed_over_by_other_nodes) {
-    cr_assert(requests_at_dead(told_after(attempt_result::silent, milliseconds{2'000})) < 20);
+// Retries of a program arrive through other nodes, which all know where its previous turn was
+// executed.
+Test(backend_pool, silent_back_end_is_skipped_by_other_nodes) {
+    cr_assert(requests_at_dead(reported_after(attempt_result::silent, milliseconds{2'000})) < 20);
 }
 
-Test(backend_pool, who_is_not_there_any_more_is_passed_over_by_other_nodes) {
-    cr_assert(requests_at_dead(told_after(attempt_result::not_there, milliseconds{800})) < 20);
+Test(backend_pool, replaced_back_end_is_skipped_by_other_nodes) {
+    cr_assert(requests_at_dead(reported_after(attempt_result::not_there, milliseconds{800})) < 20);
 }
 
-// Callers that change their mind say nothing of the back end.
-Test(backend_pool, who_was_left_early_is_no_worse_for_it) {
-    const auto told = told_after(attempt_result::abandoned, milliseconds{300});
-    cr_assert(told.loads.empty());
+// Callers that give up early are no evidence against the back end.
+Test(backend_pool, abandoned_attempt_does_not_count_as_failure) {
+    const auto reported = reported_after(attempt_result::abandoned, milliseconds{300});
+    cr_assert(reported.loads.empty());
 }
 
-Test(backend_pool, who_is_not_there_rests_until_the_list_has_caught_up) {
+Test(backend_pool, replaced_back_end_is_in_backoff_until_list_is_updated) {
     pool_fixture fixture({backend_of("dead"), backend_of("good")});
     const auto chosen = fixture.pool.choose(
         {.service = "service", .affinity_key = {}, .excluded = {"good"}}, fixture.now);
-    fixture.pool.answered(chosen->target.run(), fixture.now);
-    fixture.pool.ended(chosen->target.run(), attempt_result::not_there, milliseconds{1},
-                       fixture.now);
+    fixture.pool.on_response_head(chosen->target.run(), fixture.now);
+    fixture.pool.on_attempt_ended(chosen->target.run(), attempt_result::not_there, milliseconds{1},
+                                  fixture.now);
     fixture.now += milliseconds{3'600};
     for (int index = 0; index < 12; ++index) {
         cr_assert(fixture.choose() == "good");
     }
-    // Listed anew, as another run of the process: nothing is held against it.
+    // A new incarnation starts without failures.
     directory::backend again = backend_of("dead");
     again.started_at = 7;
     fixture.pool.set_backends({.revision = 9, .backends = {{"dead", again}}}, fixture.now);
     cr_assert(fixture.choose() == "dead");
 }
 
-Test(backend_pool, the_load_of_other_nodes_counts) {
+Test(backend_pool, load_of_other_nodes_is_counted) {
     pool_fixture fixture({backend_of("busy"), backend_of("idle")});
     dispatch::shared_load others({});
     fixture.pool.set_shared_load(others);
@@ -284,11 +285,11 @@
     }
 }
 
-Test(backend_pool, a_slow_one_gets_less_but_not_nothing) {
+Test(backend_pool, slow_back_end_gets_fewer_requests) {
     pool_fixture fixture({backend_of("slow"), backend_of("1"), backend_of("2")});
-    fixture.pool.note_event(directory::backend_run("slow"), milliseconds{100}, fixture.now);
-    fixture.pool.note_event(directory::backend_run("1"), milliseconds{20}, fixture.now);
-    fixture.pool.note_event(directory::backend_run("2"), milliseconds{20}, fixture.now);
+    fixture.pool.record_event(directory::backend_run("slow"), milliseconds{100}, fixture.now);
+    fixture.pool.record_event(directory::backend_run("1"), milliseconds{20}, fixture.now);
+    fixture.pool.record_event(directory::backend_run("2"), milliseconds{20}, fixture.now);
     std::map<std::string, int> taken;
     for (int index = 0; index < 22; ++index) {
         ++taken[fixture.choose()];
@@ -298,9 +299,9 @@
 
 namespace {
 
-/// One of many nodes before many back ends in three zones.
-struct pool_of_many {
-    explicit pool_of_many(const std::string& node, base::milliseconds between)
+/// One of many nodes in front of 60 back ends in three zones.
+struct large_pool {
+    explicit large_pool(const std::string& node, base::milliseconds between)
         : between(between), pool({.node = node, .zone = "a"}, random) {
         directory::backend_list list{.revision = 1, .backends = {}};
         for (int index = 0; index < 60; ++index) {
@@ -309,7 +310,7 @@
         }
         pool.set_backends(list, now);
     }
-    /// Requests one after the other, each ended before the next.
+    /// Sends sequential requests and returns the number per back end.
     std::map<std::string, int> use(int requests, bool with_keys = false) {
         std::map<std::string, int> used;
         for (int index = 0; index < requests; ++index) {
@@ -320,8 +321,9 @@
                              .excluded = {}},
                             now);
             ++used[chosen->target.id];
-            pool.answered(chosen->target.run(), now);
-            pool.ended(chosen->target.run(), attempt_result::served, milliseconds{1}, now);
+            pool.on_response_head(chosen->target.run(), now);
+            pool.on_attempt_ended(chosen->target.run(), attempt_result::served, milliseconds{1},
+                                  now);
         }
         return used;
     }
@@ -341,8 +343,8 @@
 
 }  // namespace
 
-// Few back ends in a zone don't even out what comes to it.
-Test(backend_pool, programs_spread_over_zones_that_have_few_back_ends) {
+// With few back ends in a zone, the load of that zone would not be balanced.
+Test(backend_pool, programs_spread_over_zones_with_few_back_ends) {
     std::vector<directory::backend> backends;
     for (int index = 0; index < 12; ++index) {
         backends.push_back(
@@ -352,16 +354,16 @@
     std::set<std::string> used;
     for (int index = 0; index < 200; ++index) {
         const std::string id = fixture.choose("program-" + std::to_string(index));
-        fixture.pool.ended(directory::backend_run(id), attempt_result::served, milliseconds{1},
-                           fixture.now);
+        fixture.pool.on_attempt_ended(directory::backend_run(id), attempt_result::served,
+                                      milliseconds{1}, fixture.now);
         used.insert(id);
     }
     cr_assert(used.size() == 12, "%zu of 12", used.size());
 }
 
-// A connection that is opened for each request costs its back end a handshake.
-Test(backend_pool, a_node_with_few_requests_uses_few_back_ends_again_and_again) {
-    pool_of_many node("edge-1", milliseconds{250});
+// Opening a connection for each request costs the back end a handshake.
+Test(backend_pool, node_with_few_requests_reuses_few_back_ends) {
+    large_pool node("edge-1", milliseconds{250});
     const auto used = node.use(400);
     cr_assert(used.size() <= 7, "%zu back ends for four requests a second", used.size());
     cr_assert(node.zones_of(used) == std::set<std::string>{"a"}, "all in its own zone");
@@ -370,25 +372,25 @@
     cr_assert(often >= 5, "%ld are used again within seconds", static_cast<long>(often));
 }
 
-Test(backend_pool, all_nodes_of_a_zone_send_a_program_to_one_back_end_of_the_zone) {
-    pool_of_many one("edge-1", milliseconds{250});
-    pool_of_many another("edge-2", milliseconds{250});
+Test(backend_pool, all_nodes_of_a_zone_select_the_same_back_end_for_a_program) {
+    large_pool one("edge-1", milliseconds{250});
+    large_pool another("edge-2", milliseconds{250});
     const auto used = one.use(100, true);
     cr_assert(used == another.use(100, true));
     cr_assert(one.zones_of(used) == std::set<std::string>{"a"});
     cr_assert(used.size() > 15, "%zu of 20 in the zone", used.size());
 }
 
-Test(backend_pool, a_node_with_many_requests_uses_more) {
-    pool_of_many node("edge-1", milliseconds{40});
+Test(backend_pool, node_with_many_requests_uses_more_back_ends) {
+    large_pool node("edge-1", milliseconds{40});
     node.use(100);
-    cr_assert(node.use(1'000).size() == 20, "all of its zone, one request at a time");
+    cr_assert(node.use(1'000).size() == 20, "all back ends of its zone, one request at a time");
 }
 
-Test(backend_pool, nodes_together_use_all_back_ends_of_their_zone_evenly) {
+Test(backend_pool, nodes_use_all_back_ends_of_their_zone_evenly) {
     std::map<std::string, int> used;
     for (int node = 0; node < 40; ++node) {
-        pool_of_many one("edge-" + std::to_string(node), milliseconds{300});
+        large_pool one("edge-" + std::to_string(node), milliseconds{300});
         for (const auto& [id, count] : one.use(100)) {
             used[id] += count;
         }
@@ -401,8 +403,8 @@
     }
 }
 
-Test(backend_pool, fuller_near_ones_give_way_to_others) {
-    pool_of_many node("edge-1", milliseconds{250});
+Test(backend_pool, requests_overflow_from_full_preferred_back_ends) {
+    large_pool node("edge-1", milliseconds{250});
     node.use(40);
     std::map<std::string, int> used;
     for (int index = 0; index < 20; ++index) {
@@ -411,27 +413,27 @@
                    ->target.id];
     }
     for (const auto& [id, count] : used) {
-        cr_assert(count <= 3, "%d at once at one of four places", count);
+        cr_assert(count <= 3, "%d concurrent requests at four slots", count);
     }
 }
 
-Test(backend_pool, near_ones_that_fail_are_replaced) {
-    pool_of_many node("edge-1", milliseconds{250});
+Test(backend_pool, failed_preferred_back_ends_are_replaced) {
+    large_pool node("edge-1", milliseconds{250});
     node.use(100);
     std::set<std::string> failed;
     for (int failure = 0; failure < 15; ++failure) {
         const auto chosen =
             node.pool.choose({.service = "service", .affinity_key = "", .excluded = {}}, node.now);
         cr_assert(chosen->target.zone == "a", "the next of its own zone");
-        cr_assert(failed.insert(chosen->target.id).second, "one that failed rests");
-        node.pool.ended(chosen->target.run(), attempt_result::unreachable, milliseconds{1},
-                        node.now);
+        cr_assert(failed.insert(chosen->target.id).second, "a failed back end is in backoff");
+        node.pool.on_attempt_ended(chosen->target.run(), attempt_result::unreachable,
+                                   milliseconds{1}, node.now);
     }
 }
 
 namespace {
 
-/// Two back ends of a service that starts cold; `c` has just started.
+/// Two back ends of a service with cold starts. `c` has just started.
 struct cold_fixture {
     cold_fixture() {
         directory::configuration config;
@@ -454,14 +456,15 @@
 
 }  // namespace
 
-Test(backend_pool, a_cold_one_is_named_and_left_once_it_gave_no_permit) {
+Test(backend_pool, cold_back_end_is_reported_and_skipped_after_rejected_permit) {
     cold_fixture fixture;
     for (int index = 0; index < 4; ++index) {
         const auto chosen = fixture.pool.choose({.service = "service"}, fixture.now);
         cr_assert(chosen->cold.has_value() == (chosen->target.id == "c"));
         const auto other =
             fixture.pool.choose({.service = "service", .without_permit = {"x"}}, fixture.now);
-        cr_assert(other->target.id == "w", "a warm one goes first once a permit was refused");
+        cr_assert(other->target.id == "w",
+                  "a warm back end is preferred after a permit was rejected");
     }
     const auto only = fixture.pool.choose(
         {.service = "service", .excluded = {"w"}, .without_permit = {"x"}}, fixture.now);
@@ -472,46 +475,46 @@
                    .has_value());
 }
 
-Test(backend_pool, a_cold_one_that_is_slow_to_answer_is_not_passed_over) {
+Test(backend_pool, slow_cold_back_end_is_not_skipped) {
     cold_fixture fixture;
     const auto first = fixture.pool.choose({.service = "service", .excluded = {"w"}}, fixture.now);
     cr_assert(first->target.id == "c");
     fixture.now += milliseconds{1'000};
     const auto second = fixture.pool.choose({.service = "service"}, fixture.now);
     cr_assert(second->candidates == 2);
-    fixture.pool.answered(second->target.run(), fixture.now);
+    fixture.pool.on_response_head(second->target.run(), fixture.now);
     fixture.now += milliseconds{3'000};
     cr_assert(fixture.pool.choose({.service = "service"}, fixture.now)->candidates == 1,
-              "a warm one is");
+              "a slow warm back end is skipped");
 }
 
-Test(backend_pool, one_that_could_not_be_reached_is_cold_when_it_answers_again) {
+Test(backend_pool, unreachable_back_end_is_cold_after_it_recovers) {
     cold_fixture fixture;
     fixture.now += milliseconds{10'000};
     cr_assert(!fixture.cold.is_cold("c", fixture.now));
     fixture.pool.choose({.service = "service", .excluded = {"w"}}, fixture.now);
-    fixture.pool.answered(directory::backend_run("c"), fixture.now);
-    fixture.pool.ended(directory::backend_run("c"), attempt_result::unreachable, milliseconds{0},
-                       fixture.now);
+    fixture.pool.on_response_head(directory::backend_run("c"), fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_run("c"), attempt_result::unreachable,
+                                  milliseconds{0}, fixture.now);
     fixture.now += milliseconds{10'000};
     fixture.pool.choose({.service = "service", .excluded = {"w"}}, fixture.now);
-    fixture.pool.answered(directory::backend_run("c"), fixture.now);
-    fixture.pool.ended(directory::backend_run("c"), attempt_result::served, milliseconds{5},
-                       fixture.now);
+    fixture.pool.on_response_head(directory::backend_run("c"), fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_run("c"), attempt_result::served,
+                                  milliseconds{5}, fixture.now);
     cr_assert(fixture.cold.is_cold("c", fixture.now + milliseconds{2'999}));
     cr_assert(!fixture.cold.is_cold("c", fixture.now + milliseconds{3'000}));
 }
 
-Test(backend_pool, a_service_that_is_mostly_cold_has_the_places_that_its_rate_fills) {
+Test(backend_pool, slots_of_mostly_cold_service_are_limited_by_its_rate) {
     cold_fixture fixture;
-    fixture.pool.note_stay(directory::backend_run("w"), milliseconds{50});
-    cr_assert(fixture.pool.load_of("service", fixture.now).places == 8, "one of two is cold");
+    fixture.pool.record_service_time(directory::backend_run("w"), milliseconds{50});
+    cr_assert(fixture.pool.load_of("service", fixture.now).slots == 8, "one of two is cold");
     directory::backend_list list{.revision = 2,
                                  .backends = {{"c", backend_of("c")}, {"d", backend_of("d")}}};
     fixture.cold.set_backends(list, fixture.now);
     fixture.pool.set_backends(list, fixture.now);
-    // 32 a second, each of which stays 0.05 s: 1.6 at once.
-    cr_assert_float_eq(fixture.pool.load_of("service", fixture.now).places, 3.2, 1e-9);
+    // At 32 requests per second of 0.05 s each, 1.6 run concurrently.
+    cr_assert_float_eq(fixture.pool.load_of("service", fixture.now).slots, 3.2, 1e-9);
     fixture.now += milliseconds{3'000};
-    cr_assert(fixture.pool.load_of("service", fixture.now).places == 8, "both are warm");
+    cr_assert(fixture.pool.load_of("service", fixture.now).slots == 8, "both are warm");
 }
--- a/tests/unit/forward/backend_runs_test.cc
+++ b/tests/unit/forward/backend_runs_test.cc
@@ -1,4 +1,4 @@
-// A back end that starts again under the id that it had.
+// Back ends that restart under the same id.
 #include <string>
 #include <utility>
 
@@ -16,12 +16,14 @@
 constexpr std::uint64_t first_start = 1'764'710'400'000;
 constexpr std::uint64_t second_start = first_start + 20'000;
 
-directory::backend run_of(const std::string& id, std::uint64_t started_at) {
+directory::backend incarnation_of(const std::string& id, std::uint64_t started_at) {
     return {.id = id, .service = "service", .zone = "a", .slots = 4, .started_at = started_at};
 }
 
-struct runs_fixture {
-    runs_fixture() { list({run_of("again", first_start), run_of("other", first_start)}); }
+struct incarnations_fixture {
+    incarnations_fixture() {
+        list({incarnation_of("again", first_start), incarnation_of("other", first_start)});
+    }
 
     void list(const std::vector<directory::backend>& backends) {
         directory::backend_list next{.revision = ++revision, .backends = {}};
@@ -30,10 +32,10 @@
         }
         pool.set_backends(next, now);
     }
-    void start_again(std::uint64_t started_at = second_start) {
-        list({run_of("again", started_at), run_of("other", first_start)});
+    void restart(std::uint64_t started_at = second_start) {
+        list({incarnation_of("again", started_at), incarnation_of("other", first_start)});
     }
-    /// Sends to the back end that starts again.
+    /// Sends a request to the back end that restarts.
     directory::backend send() {
         const auto chosen =
             pool.choose({.service = "service", .affinity_key = "", .excluded = {"other"}}, now);
@@ -42,14 +44,14 @@
     }
     void end(const directory::backend& target, attempt_result result,
              milliseconds took = milliseconds{1}) {
-        pool.answered(target.run(), now);
-        pool.ended(target.run(), result, took, now);
+        pool.on_response_head(target.run(), now);
+        pool.on_attempt_ended(target.run(), result, took, now);
     }
     std::uint32_t in_flight() const {
         const auto loads = pool.own_loads(now);
         return loads.empty() ? 0 : loads.front().requests;
     }
-    /// How many of so many choices fall on it.
+    /// Returns how many of `choices` selections select the back end that restarts.
     int share_of(int choices) {
         int found = 0;
         for (int index = 0; index < choices; ++index) {
@@ -68,154 +70,155 @@
 
 }  // namespace
 
-Test(backend_runs, requests_of_the_run_before_are_not_under_way_at_the_next) {
-    runs_fixture fixture;
+Test(backend_runs, in_flight_requests_of_previous_incarnation_are_not_counted) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
     fixture.send();
-    fixture.start_again();
+    fixture.restart();
     cr_assert(fixture.in_flight() == 0);
     fixture.send();
     fixture.end(before, attempt_result::broken);
-    cr_assert(fixture.in_flight() == 1, "the end of an earlier run's request takes none away");
+    cr_assert(fixture.in_flight() == 1, "a request of the previous incarnation is not subtracted");
 }
 
-Test(backend_runs, the_rest_of_the_run_before_is_over) {
-    runs_fixture fixture;
+Test(backend_runs, backoff_of_previous_incarnation_ends) {
+    incarnations_fixture fixture;
     for (int index = 0; index < 6; ++index) {
         fixture.end(fixture.send(), attempt_result::unreachable);
     }
     cr_assert(fixture.share_of(10) == 0);
-    fixture.start_again();
+    fixture.restart();
     cr_assert(fixture.share_of(10) > 0);
 }
 
-Test(backend_runs, a_failure_of_the_run_before_lets_the_next_not_rest) {
-    runs_fixture fixture;
+Test(backend_runs, failure_of_previous_incarnation_causes_no_backoff) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
-    fixture.start_again();
+    fixture.restart();
     fixture.end(before, attempt_result::broken);
     cr_assert(fixture.share_of(10) > 0);
     cr_assert(fixture.pool.failing_count(fixture.now) == 0);
 }
 
-Test(backend_runs, silence_of_the_run_before_is_none_of_the_next) {
-    runs_fixture fixture;
+Test(backend_runs, silence_of_previous_incarnation_is_ignored) {
+    incarnations_fixture fixture;
     fixture.send();
     fixture.now += milliseconds{5'000};
     cr_assert(fixture.share_of(10) == 0);
-    fixture.start_again();
+    fixture.restart();
     cr_assert(fixture.share_of(10) > 0);
 }
 
-Test(backend_runs, an_answer_of_the_run_before_ends_no_silence_of_the_next) {
-    runs_fixture fixture;
+Test(backend_runs, response_of_previous_incarnation_does_not_end_silence) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
-    const base::instant began = fixture.now;
-    fixture.start_again();
+    const base::instant started_at = fixture.now;
+    fixture.restart();
     fixture.send();
     fixture.now += milliseconds{5'000};
-    fixture.pool.answered(before.run(), began);
-    cr_assert(fixture.share_of(10) == 0, "the present run has not answered");
+    fixture.pool.on_response_head(before.run(), started_at);
+    cr_assert(fixture.share_of(10) == 0, "the current incarnation has not responded");
 }
 
-Test(backend_runs, its_results_and_mean_times_start_anew) {
-    runs_fixture fixture;
+Test(backend_runs, results_and_mean_times_are_reset) {
+    incarnations_fixture fixture;
     for (int index = 0; index < 4; ++index) {
         fixture.end(fixture.send(), attempt_result::failed);
     }
     fixture.end(fixture.send(), attempt_result::served, milliseconds{4'000});
     const auto before = fixture.send();
-    fixture.pool.note_event(before.run(), milliseconds{400}, fixture.now);
+    fixture.pool.record_event(before.run(), milliseconds{400}, fixture.now);
     cr_assert(fixture.pool.failing_count(fixture.now) == 1);
-    fixture.start_again();
+    fixture.restart();
     cr_assert(fixture.pool.failing_count(fixture.now) == 0);
-    const auto usual = fixture.pool.patience(run_of("none", 0).run(), milliseconds{100});
-    cr_assert(fixture.pool.patience(run_of("again", second_start).run(), milliseconds{100}) ==
-              usual);
-    fixture.pool.note_event(before.run(), milliseconds{400}, fixture.now);
+    const auto usual = fixture.pool.patience(incarnation_of("none", 0).run(), milliseconds{100});
+    cr_assert(fixture.pool.patience(incarnation_of("again", second_start).run(),
+                                    milliseconds{100}) == usual);
+    fixture.pool.record_event(before.run(), milliseconds{400}, fixture.now);
     fixture.end(before, attempt_result::served, milliseconds{4'000});
     fixture.send();
     cr_assert(fixture.pool.own_loads(fixture.now).front().pace_us == 0);
 }
 
-Test(backend_runs, what_other_nodes_have_at_the_run_before_is_no_load_of_the_next) {
-    runs_fixture fixture;
+Test(backend_runs, remote_load_of_previous_incarnation_is_ignored) {
+    incarnations_fixture fixture;
     dispatch::shared_load load({});
     fixture.pool.set_shared_load(load);
     fixture.send();
-    auto told = fixture.pool.own_loads(fixture.now).front();
-    told.requests = 50;
-    load.take({.is_given = true, .gathered_ms = 5'000, .loads = {told}}, fixture.now);
+    auto reported = fixture.pool.own_loads(fixture.now).front();
+    reported.requests = 50;
+    load.take({.is_given = true, .gathered_ms = 5'000, .loads = {reported}}, fixture.now);
     cr_assert(fixture.share_of(10) == 0);
-    fixture.start_again();
+    fixture.restart();
     cr_assert(fixture.share_of(10) > 0);
 }
 
-Test(backend_runs, one_that_drained_takes_requests_when_it_has_started_again) {
-    runs_fixture fixture;
+Test(backend_runs, drained_back_end_gets_requests_after_restart) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
-    auto draining = run_of("again", first_start);
+    auto draining = incarnation_of("again", first_start);
     draining.draining = true;
-    fixture.list({draining, run_of("other", first_start)});
+    fixture.list({draining, incarnation_of("other", first_start)});
     cr_assert(fixture.share_of(10) == 0);
-    fixture.start_again();
+    fixture.restart();
     fixture.end(before, attempt_result::broken);
     cr_assert(fixture.share_of(10) > 0 && fixture.in_flight() == 0);
 }
 
-Test(backend_runs, twice_in_a_second_the_last_one_counts) {
-    runs_fixture fixture;
+Test(backend_runs, latest_of_two_restarts_within_a_second_is_used) {
+    incarnations_fixture fixture;
     const auto first = fixture.send();
-    fixture.start_again(second_start);
+    fixture.restart(second_start);
     const auto second = fixture.send();
-    fixture.start_again(second_start + 400);
+    fixture.restart(second_start + 400);
     fixture.end(first, attempt_result::unreachable);
     fixture.end(second, attempt_result::unreachable);
     cr_assert(fixture.share_of(10) > 0 && fixture.in_flight() == 0);
 }
 
-Test(backend_runs, one_whose_clock_was_set_back_is_another_run_all_the_same) {
-    runs_fixture fixture;
+Test(backend_runs, restart_with_earlier_clock_is_a_new_incarnation) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
-    fixture.start_again(first_start - 60'000);
+    fixture.restart(first_start - 60'000);
     cr_assert(fixture.in_flight() == 0);
     fixture.send();
     fixture.end(before, attempt_result::broken);
     cr_assert(fixture.in_flight() == 1);
 }
 
-// The entries of all vanish in an outage of the outside service; one has started again meanwhile.
-Test(backend_runs, one_that_starts_again_while_its_entry_is_away_is_another_run) {
-    runs_fixture fixture;
+// During an outage of the directory service all entries vanish, and one back end restarts
+// meanwhile.
+Test(backend_runs, restart_while_not_listed_is_a_new_incarnation) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
     fixture.list({});
     fixture.now += milliseconds{1'000};
-    fixture.start_again();
+    fixture.restart();
     cr_assert(fixture.in_flight() == 0);
     fixture.end(before, attempt_result::broken);
     cr_assert(fixture.share_of(10) > 0 && fixture.in_flight() == 0);
 }
 
-// Behind a cut its requests neither end nor break until their time is up.
-Test(backend_runs, requests_that_end_long_after_the_restart_count_for_nobody) {
-    runs_fixture fixture;
+// During a network partition, requests neither complete nor fail before their timeout.
+Test(backend_runs, requests_that_end_after_restart_are_ignored) {
+    incarnations_fixture fixture;
     const auto before = fixture.send();
     fixture.now += milliseconds{4'000};
-    fixture.start_again();
+    fixture.restart();
     const auto after = fixture.send();
     fixture.now += milliseconds{4'000};
     fixture.end(before, attempt_result::served, milliseconds{8'000});
     fixture.end(after, attempt_result::abandoned);
     cr_assert(fixture.in_flight() == 0);
-    const auto usual = fixture.pool.patience(run_of("none", 0).run(), milliseconds{100});
+    const auto usual = fixture.pool.patience(incarnation_of("none", 0).run(), milliseconds{100});
     cr_assert(fixture.pool.patience(after.run(), milliseconds{100}) == usual);
 }
 
-Test(backend_runs, the_same_run_listed_again_keeps_what_is_known) {
-    runs_fixture fixture;
+Test(backend_runs, updated_entry_of_same_incarnation_keeps_state) {
+    incarnations_fixture fixture;
     fixture.send();
-    auto changed = run_of("again", first_start);
+    auto changed = incarnation_of("again", first_start);
     changed.cold_left_ms = 900;
-    fixture.list({changed, run_of("other", first_start)});
+    fixture.list({changed, incarnation_of("other", first_start)});
     cr_assert(fixture.in_flight() == 1);
 }
--- a/tests/unit/forward/cold_return_simulation_test.cc
+++ b/tests/unit/forward/cold_return_simulation_test.cc
@@ -1,5 +1,5 @@
-// A quarter of the engines come back together in a burst, cold: what they get, and what callers
-// get. An engine that gets more in a second than it bears while it is cold falls over.
+// A quarter of the engines return cold at the same time during a burst. An engine that receives
+// more requests per second than it can serve while cold fails.
 #include <algorithm>
 #include <cstdio>
 #include <deque>
@@ -25,11 +25,11 @@
 namespace {
 
 constexpr std::size_t engine_count = 16;
-/// The first ones, of one zone.
+/// The first engines, all in one zone.
 constexpr std::size_t returning_count = 4;
 constexpr std::size_t edge_count = 30;
 constexpr std::size_t member_count = 5;
-constexpr std::uint32_t places = 6;
+constexpr std::uint32_t slots = 6;
 constexpr std::uint64_t prompt_tokens = 512;
 constexpr std::uint64_t answer_tokens = 12;
 constexpr double cold_rate = 32;
@@ -42,7 +42,7 @@
 constexpr int burst_from_ms = 6'000;
 constexpr int burst_to_ms = 14'000;
 constexpr int length_ms = 18'000;
-/// 14 at each engine in the mean.
+/// An average of 14 per engine.
 constexpr double requests_per_second = 224;
 constexpr double burst_factor = 4;
 constexpr int in_time_ms = 400;
@@ -63,7 +63,7 @@
     std::unique_ptr<emulator::engine_model> model;
     int down_until_ms = 0;
     int cold_until_ms = 0;
-    /// When requests came in the last second.
+    /// Arrival times of the requests of the last second.
     std::deque<int> arrivals;
 };
 
@@ -85,7 +85,7 @@
             backend.id = "e" + std::to_string(index);
             backend.service = "model";
             backend.zone = index < returning_count ? "a" : "b";
-            backend.slots = places;
+            backend.slots = slots;
             backend.started_at = 1;
             this->list.backends[backend.id] = backend;
             this->engines.push_back({.model = new_engine()});
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Of the requests that came from the return to the end of the burst.
+    /// Share of the requests between the return of the zone and the end of the burst that were
+    /// served in time.
     double in_time_after_return() const {
         return static_cast<double>(this->served_in_time) / this->came_after_return;
     }
@@ -140,7 +141,7 @@
                          .decode_sequence = 46.2,
                          .decode_context_kilotoken = 1.15};
         options.cache.total_blocks = 138'450 / emulator::block_tokens;
-        options.max_running = places;
+        options.max_running = slots;
         options.max_waiting = 18;
         return std::make_unique<emulator::engine_model>(options);
     }
@@ -166,7 +167,7 @@
         this->view = view;
     }
 
-    /// The zone's entries are gone when it is down, and come back with it.
+    /// Removes the entries of the zone while it is down, and restores them afterwards.
     void move_zone() {
         if (this->now_ms != gone_ms && this->now_ms != back_ms) {
             return;
@@ -215,9 +216,9 @@
         one.sent_ms = this->now_ms;
         while (chosen.has_value() && chosen->cold.has_value() &&
                !this->is_permitted(chosen->target.id)) {
-            pool.answered(chosen->target.run(), this->instant());
-            pool.ended(chosen->target.run(), attempt_result::abandoned, milliseconds{0},
-                       this->instant());
+            pool.on_response_head(chosen->target.run(), this->instant());
+            pool.on_attempt_ended(chosen->target.run(), attempt_result::abandoned, milliseconds{0},
+                                  this->instant());
             wanted.without_permit.insert(chosen->target.id);
             chosen = pool.choose(wanted, this->instant());
         }
@@ -277,7 +278,7 @@
         }
     }
 
-    /// All that the engine had is lost.
+    /// Drops all requests of the engine.
     void fall(std::size_t index, int until_ms) {
         this->engines[index].model = new_engine();
         this->engines[index].down_until_ms = until_ms;
@@ -298,8 +299,9 @@
 
     void end(const request& one, attempt_result result) {
         backend_pool& pool = *this->edges[one.edge]->pool;
-        pool.answered(one.run, this->at(one.sent_ms));
-        pool.ended(one.run, result, milliseconds{this->now_ms - one.sent_ms}, this->instant());
+        pool.on_response_head(one.run, this->at(one.sent_ms));
+        pool.on_attempt_ended(one.run, result, milliseconds{this->now_ms - one.sent_ms},
+                              this->instant());
     }
 
     void again(request one) {
@@ -381,14 +383,14 @@
 
 }  // namespace
 
-Test(cold_return_simulation, a_zone_that_returns_in_a_burst_gets_no_more_than_it_bears) {
+Test(cold_return_simulation, zone_that_returns_during_burst_is_not_overloaded) {
     const outcome seen = mean_of(true);
     cr_assert(seen.worst_second <= bears, "%zu in a second", seen.worst_second);
     cr_assert(seen.fallen == 0);
     cr_assert(seen.in_time > 0.95, "%.3f in time", seen.in_time);
 }
 
-Test(cold_return_simulation, without_permits_its_back_ends_fall_over) {
+Test(cold_return_simulation, back_ends_fail_without_permits) {
     const outcome seen = mean_of(false);
     cr_assert(seen.fallen > 1, "%.1f fell over", seen.fallen);
     cr_assert(seen.in_time < mean_of(true).in_time);
--- a/tests/unit/forward/forward_service_test.cc
+++ b/tests/unit/forward/forward_service_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A request whose caller the test takes away.
+/// An exchange whose caller can disconnect.
 class scripted_exchange final : public net::http_exchange {
   public:
     explicit scripted_exchange(net::http_request request) : asked(std::move(request)) {}
@@ -53,7 +53,7 @@
     return config;
 }
 
-/// A forwarding node in front of storage members that never answer.
+/// A forwarding node with storage members that never reply.
 struct silent_members_fixture {
     silent_members_fixture() {
         this->turns->set_view(turns::testing::view_of_three());
@@ -102,25 +102,25 @@
 
 }  // namespace
 
-// A node that stops breaks off its callers first and then takes its parts down: a request that
-// ended a moment ago may not outlive what it refers to.
-Test(forward_service, a_request_whose_caller_has_gone_ends_with_the_node) {
+// On shutdown, a node disconnects its callers before it destroys its components. A request that has
+// just ended must not outlive the objects that it references.
+Test(forward_service, request_of_disconnected_caller_ends_on_shutdown) {
     silent_members_fixture node;
     const auto exchange = node.ask();
     cr_assert(*node.caller.open == 3, "the turn is being prepared");
     exchange->closed();
     node.service.reset();
     node.turns.reset();
-    cr_assert(*node.caller.open == 0, "%d questions outlive the node", *node.caller.open);
+    cr_assert(*node.caller.open == 0, "%d requests outlive the node", *node.caller.open);
     net::testing::run_for(node.loop, std::chrono::milliseconds(5));
 }
 
-Test(forward_service, a_request_whose_caller_has_gone_is_freed_by_the_loop) {
+Test(forward_service, request_of_disconnected_caller_is_freed_by_event_loop) {
     silent_members_fixture node;
     const auto exchange = node.ask();
     exchange->closed();
     cr_assert(node.service->open_requests() == 0);
-    // What is left is the word of the turn's cost, which is told to every member.
+    // The settlement of the turn remains, which is sent to every member.
     net::testing::run_for(node.loop, std::chrono::milliseconds(5));
     cr_assert(*node.caller.open == 3);
 }
--- a/tests/unit/forward/forwarded_permit_test.cc
+++ b/tests/unit/forward/forwarded_permit_test.cc
@@ -1,4 +1,4 @@
-// Requests to back ends that have just started: what they ask for, and what callers get without it.
+// Requests to back ends that have just started: permit requests, and responses without a permit.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -48,7 +48,7 @@
     std::function<void()> closed;
 };
 
-/// Storage members that answer every turn at once.
+/// Storage members that accept every turn immediately.
 class willing_members final : public turns::member_caller {
   public:
     explicit willing_members(net::event_loop& loop) : loop(loop) {}
@@ -56,14 +56,14 @@
                                                 net::method_number method, std::string payload,
                                                 base::milliseconds /*timeout*/,
                                                 reply_handler on_reply) override {
-        return std::make_unique<question>(this->loop, answer_to(method, payload),
-                                          std::move(on_reply));
+        return std::make_unique<pending_reply>(this->loop, answer_to(method, payload),
+                                               std::move(on_reply));
     }
 
   private:
-    class question final : public net::peer_call_handle {
+    class pending_reply final : public net::peer_call_handle {
       public:
-        question(net::event_loop& loop, std::string answer, reply_handler on_reply)
+        pending_reply(net::event_loop& loop, std::string answer, reply_handler on_reply)
             : timer(loop.after(milliseconds{0},
                                [answer, on_reply = std::move(on_reply)] { on_reply(answer); })) {}
         void cancel() override { this->timer.reset(); }
@@ -86,7 +86,7 @@
     net::event_loop& loop;
 };
 
-/// Answers as the test says; one without an answer leaves the question open.
+/// Replies to permit requests with `answer` after `wait`.
 class scripted_permits final : public slowstart::permit_source {
   public:
     explicit scripted_permits(net::event_loop& loop) : loop(loop) {}
@@ -94,7 +94,8 @@
         const slowstart::cold_start& target,
         std::function<void(const slowstart::permit_decision&)> done) override {
         this->asked.push_back(target.backend);
-        return std::make_unique<question>(this->loop, this->wait, this->answer, std::move(done));
+        return std::make_unique<pending_reply>(this->loop, this->wait, this->answer,
+                                               std::move(done));
     }
 
     slowstart::permit_decision answer{.verdict = slowstart::permit_verdict::refused,
@@ -103,10 +104,10 @@
     std::vector<std::string> asked;
 
   private:
-    class question final : public turns::turn_operation {
+    class pending_reply final : public turns::turn_operation {
       public:
-        question(net::event_loop& loop, milliseconds wait, slowstart::permit_decision answer,
-                 std::function<void(const slowstart::permit_decision&)> done)
+        pending_reply(net::event_loop& loop, milliseconds wait, slowstart::permit_decision answer,
+                      std::function<void(const slowstart::permit_decision&)> done)
             : timer(loop.after(wait, [answer, done = std::move(done)] { done(answer); })) {}
 
       private:
@@ -143,7 +144,7 @@
     return config;
 }
 
-/// A forwarding node in front of back ends that record what reaches them.
+/// A forwarding node in front of back ends that record the requests they receive.
 struct node_fixture {
     node_fixture() {
         net::http_server_options options;
@@ -164,7 +165,7 @@
         this->service.set_configuration(engines());
     }
 
-    /// Each was listed long ago, or has just started.
+    /// Lists back ends that started long ago and back ends that have just started.
     void set_backends(const std::set<std::string>& warm,
                       const std::set<std::string>& just_started) {
         directory::backend_list list{.revision = 1, .backends = {}};
@@ -240,7 +241,7 @@
 
 }  // namespace
 
-Test(forwarded_permit, a_warm_back_end_is_sent_to_without_a_question) {
+Test(forwarded_permit, warm_back_end_needs_no_permit) {
     node_fixture node;
     node.set_backends({"warm"}, {});
     const auto exchange = node.ask();
@@ -249,7 +250,7 @@
     cr_assert(node.permits.asked.empty());
 }
 
-Test(forwarded_permit, a_cold_back_end_is_sent_to_once_it_is_permitted) {
+Test(forwarded_permit, cold_back_end_gets_request_after_grant) {
     node_fixture node;
     node.set_backends({}, {"cold"});
     node.permits.answer = {.verdict = slowstart::permit_verdict::granted};
@@ -259,7 +260,7 @@
     cr_assert(node.permits.asked.size() == 1 && node.reached.size() == 1);
 }
 
-Test(forwarded_permit, without_a_permit_a_warm_one_gets_the_request_at_once) {
+Test(forwarded_permit, warm_back_end_gets_request_after_rejected_permit) {
     node_fixture node;
     node.set_backends({"warm"}, {"cold-1", "cold-2", "cold-3"});
     std::size_t served = 0;
@@ -269,14 +270,15 @@
         served += exchange->answer->status == 200 ? 1 : 0;
     }
     cr_assert(served == 12);
-    cr_assert(node.permits.asked.size() <= 12, "each asks once at most, then takes the warm one");
+    cr_assert(node.permits.asked.size() <= 12,
+              "at most one permit request each before the warm back end");
     cr_assert(!node.permits.asked.empty());
     for (const std::string& id : node.reached) {
         cr_assert(id == "warm");
     }
 }
 
-Test(forwarded_permit, a_permit_that_comes_late_is_not_used) {
+Test(forwarded_permit, late_permit_is_not_used) {
     node_fixture node;
     node.context.options.permit_lifetime = milliseconds{20};
     node.set_backends({}, {"cold"});
@@ -288,45 +290,45 @@
     cr_assert(node.reached.empty());
 }
 
-Test(forwarded_permit, a_new_program_is_refused_at_once_while_all_are_used_up) {
+Test(forwarded_permit, new_program_is_rejected_while_all_back_ends_are_cold_and_full) {
     node_fixture node;
     node.set_backends({}, {"1", "2", "3", "4", "5"});
-    const auto began = node.clock.now();
+    const auto started_at = node.clock.now();
     const auto exchange = node.ask();
     cr_assert(node.is_answered(exchange));
     cr_assert(exchange->answer->status == 503);
     cr_assert(exchange->reason() == "backends_cold", "%s", exchange->reason().c_str());
     cr_assert(exchange->answer->headers.find("Retry-After").has_value());
     cr_assert(node.permits.asked.size() == 3, "%zu", node.permits.asked.size());
-    cr_assert(node.clock.now() - began < objective);
+    cr_assert(node.clock.now() - started_at < objective);
     for (const auto& load : node.pool.own_loads(node.clock.now())) {
-        cr_assert(load.requests == 0, "a place is given back");
+        cr_assert(load.requests == 0, "the slot is released");
     }
 }
 
-Test(forwarded_permit, a_turn_under_way_waits_until_it_is_permitted) {
+Test(forwarded_permit, turn_of_running_program_waits_for_permit) {
     node_fixture node;
     node.set_backends({}, {"cold"});
     const auto exchange = node.ask("turn-before");
     run_for(node.loop, milliseconds{100});
-    cr_assert(!exchange->answer.has_value(), "it waits");
+    cr_assert(!exchange->answer.has_value(), "the turn waits");
     cr_assert(node.permits.asked.size() > 1);
     node.permits.answer = {.verdict = slowstart::permit_verdict::granted};
     cr_assert(node.is_answered(exchange));
     cr_assert(exchange->answer->status == 200);
 }
 
-Test(forwarded_permit, a_turn_under_way_waits_no_longer_than_its_objective) {
+Test(forwarded_permit, turn_of_running_program_waits_at_most_its_objective) {
     node_fixture node;
     node.set_backends({}, {"cold"});
-    const auto began = node.clock.now();
+    const auto started_at = node.clock.now();
     const auto exchange = node.ask("turn-before");
     cr_assert(node.is_answered(exchange));
     cr_assert(exchange->answer->status == 503);
-    cr_assert(node.clock.now() - began >= objective / 2);
+    cr_assert(node.clock.now() - started_at >= objective / 2);
 }
 
-Test(forwarded_permit, a_caller_that_leaves_gives_its_place_back) {
+Test(forwarded_permit, disconnected_caller_releases_slot) {
     node_fixture node;
     node.set_backends({}, {"cold"});
     node.permits.wait = milliseconds{5'000};
--- a/tests/unit/forward/overload_simulation_test.cc
+++ b/tests/unit/forward/overload_simulation_test.cc
@@ -1,5 +1,5 @@
-// Programs on engines with little memory, in virtual time: twice the load and slow engines for ten
-// seconds, and what callers get during it and after it.
+// Programs on engines with little memory, in virtual time: ten seconds with twice the load and some
+// slow engines, and the results of the programs during and after that time.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -23,14 +23,14 @@
 
 constexpr std::size_t engine_count = 8;
 constexpr std::size_t edge_count = 12;
-constexpr std::uint32_t places = 8;
+constexpr std::uint32_t slots = 8;
 constexpr std::uint64_t memory_tokens = 43'874;
 constexpr std::uint64_t shared_tokens = 512;
 constexpr std::uint64_t turn_tokens = 327;
 constexpr std::uint64_t answer_tokens = 72;
 constexpr int turns_of_program = 11;
 constexpr int pause_ms = 20;
-/// A program on idle engines takes about this long; callers want it in 1.4 times that and 200 ms.
+/// Approximate duration of a program on idle engines. The deadline is 1.4 times that plus 200 ms.
 constexpr int idle_program_ms = turns_of_program * (260 + pause_ms);
 constexpr int aim_ms = idle_program_ms * 14 / 10 + 200;
 constexpr int objective_ms = 200;
@@ -40,16 +40,16 @@
 constexpr int burst_from_ms = 5'000;
 constexpr int burst_to_ms = 15'000;
 constexpr int totals_age_ms = 100;
-/// 0.45 of the places in the mean, as on the sheet.
+/// Keeps 0.45 of the slots in use on average.
 constexpr double programs_per_second = 9.3;
 constexpr double burst_factor = 4;
 
-enum class gate_kind { open, fullness, learning };
+enum class admission_kind { open, fullness, learning };
 
 struct policy {
-    gate_kind kind = gate_kind::learning;
+    admission_kind kind = admission_kind::learning;
     bool tells_priority = true;
-    gate_options gate;
+    admission_options gate;
 };
 
 struct program {
@@ -74,14 +74,14 @@
                              .decode_sequence = 11.7,
                              .decode_context_kilotoken = 6.5};
             options.cache.total_blocks = memory_tokens / emulator::block_tokens;
-            options.max_running = places;
+            options.max_running = slots;
             options.max_waiting = 24;
             this->engines.push_back(std::make_unique<emulator::engine_model>(options));
             directory::backend backend;
             backend.id = "e" + std::to_string(index);
             backend.service = "model";
             backend.zone = "a";
-            backend.slots = places;
+            backend.slots = slots;
             this->backends.backends[backend.id] = backend;
         }
         this->backends.revision = 1;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Of the programs that began in a span: those that ended in time.
+    /// Share of the programs started in a span that completed in time.
     double in_time(int from_ms, int to_ms) const {
         const int count = this->began_between(from_ms, to_ms);
         return static_cast<double>(this->timely_between(from_ms, to_ms)) / std::max(1, count);
@@ -126,9 +126,9 @@
             [&](const program& one) { return one.began_ms >= from_ms && one.began_ms < to_ms; }));
     }
     int timely_between(int from_ms, int to_ms) const {
-        return static_cast<int>(
-            std::count_if(this->timely.begin(), this->timely.end(),
-                          [&](int began) { return began >= from_ms && began < to_ms; }));
+        return static_cast<int>(std::count_if(
+            this->timely.begin(), this->timely.end(),
+            [&](int started_at) { return started_at >= from_ms && started_at < to_ms; }));
     }
 
   private:
@@ -140,11 +140,11 @@
 
     std::unique_ptr<program_gate> make_gate() {
         switch (this->kept.kind) {
-            case gate_kind::open:
+            case admission_kind::open:
                 return make_open_gate();
-            case gate_kind::fullness:
-                return make_fullness_gate(this->kept.gate, this->random);
-            case gate_kind::learning:
+            case admission_kind::fullness:
+                return make_fullness_admission(this->kept.gate, this->random);
+            case admission_kind::learning:
                 break;
         }
         return make_learning_gate(this->kept.gate, this->random);
@@ -229,9 +229,9 @@
         backend_pool& pool = *this->edges[one.edge]->pool;
         const std::string id = "e" + std::to_string(one.engine);
         const base::instant sent = base::instant(milliseconds{one.sent_ms + 1'000});
-        pool.answered(directory::backend_run(id), sent);
-        pool.ended(directory::backend_run(id), result, milliseconds{this->now_ms - one.sent_ms},
-                   this->instant());
+        pool.on_response_head(directory::backend_run(id), sent);
+        pool.on_attempt_ended(directory::backend_run(id), result,
+                              milliseconds{this->now_ms - one.sent_ms}, this->instant());
     }
 
     void fail_turn(program& one, int wait_ms) {
@@ -252,7 +252,7 @@
                 const auto found = this->open.find(progress.attempt.value());
                 if (progress.first == 1 && found != this->open.end()) {
                     const program& one = this->programs[found->second];
-                    this->edges[one.edge]->gate->note_turn(
+                    this->edges[one.edge]->gate->record_turn(
                         this->now_ms - one.sent_ms <= objective_ms, this->instant());
                 }
                 if (progress.ended && found != this->open.end()) {
@@ -266,7 +266,7 @@
 
     void end_turn(program& one) {
         const auto gap = milliseconds{this->now_ms - one.sent_ms} / answer_tokens * 12;
-        this->edges[one.edge]->pool->note_event(
+        this->edges[one.edge]->pool->record_event(
             directory::backend_run("e" + std::to_string(one.engine)), gap, this->instant());
         this->end_attempt(one, attempt_result::served);
         one.tries = 0;
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Each edge hears what the others have at the engines.
+    /// Shares the load of all edges with each edge.
     void tell_loads() {
         dispatch::load_board board({}, this->instant() - milliseconds{5'000});
         for (std::size_t index = 0; index < edge_count; ++index) {
@@ -326,7 +326,7 @@
     std::uint64_t last_attempt = 0;
 };
 
-/// What callers got: before, in and after the burst.
+/// Results before, during and after the burst.
 struct outcome {
     double before = 0;
     int timely_in_burst = 0;
@@ -358,10 +358,10 @@
 
 }  // namespace
 
-// Without a gate the same load ends in a state that lasts: 0 of 100 in time, also 14 s after it.
-// With it, 0.90 of them; in the burst 63 (with priorities 77) of 379 are in time, where 85 of 93
-// are in calm times of the same length on engines of which none is slow.
-Test(overload_simulation, programs_are_in_time_again_two_seconds_after_the_burst) {
+// Without program admission, the overload persists: 0 of 100 programs are in time even 14 s after
+// the burst. With it, 0.90 of them are in time. During the burst 63 of 379 (77 with priorities) are
+// in time, compared to 85 of 93 under normal load for the same time without slow engines.
+Test(overload_simulation, programs_are_in_time_two_seconds_after_burst) {
     const outcome seen = mean_of({});
     cr_assert(seen.before > 0.85, "%.3f before the burst", seen.before);
     cr_assert(seen.after > 0.8, "%.3f after it", seen.after);
@@ -369,12 +369,12 @@
               seen.began_in_burst);
 }
 
-Test(overload_simulation, the_load_is_one_that_does_not_end_by_itself) {
-    const outcome seen = mean_of({.kind = gate_kind::open, .tells_priority = false});
+Test(overload_simulation, overload_persists_without_admission) {
+    const outcome seen = mean_of({.kind = admission_kind::open, .tells_priority = false});
     cr_assert(seen.before > 0.85, "%.3f before the burst", seen.before);
     cr_assert(seen.after < 0.2, "%.3f after it", seen.after);
 }
 
-Test(overload_simulation, urgency_alone_does_not_end_it) {
-    cr_assert(mean_of({.kind = gate_kind::open}).after < 0.2);
+Test(overload_simulation, priorities_alone_do_not_end_overload) {
+    cr_assert(mean_of({.kind = admission_kind::open}).after < 0.2);
 }
--- a/tests/unit/forward/place_check_test.cc
+++ b/tests/unit/forward/place_check_test.cc
@@ -1,4 +1,5 @@
-// Emptied zones and permitted regions at the choice of a back end and at each send.
+// Emptied zones and permitted regions, checked when a back end is selected and when the request is
+// sent.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -42,7 +43,7 @@
     return list;
 }
 
-/// Keeps what is sent, and answers when the test says so.
+/// Records the calls and completes them when the test does.
 class scripted_client final : public net::http_client {
   public:
     struct sent_call {
@@ -82,7 +83,7 @@
     std::optional<net::http_response> answer;
 };
 
-/// A forwarding node in zone `a`, a back end in `a` and one in `b`.
+/// A forwarding node in zone `a` with one back end in `a` and one in `b`.
 struct place_fixture {
     explicit place_fixture(const std::vector<std::string>& regions = {}) {
         this->pool.set_places(this->rules);
@@ -151,7 +152,7 @@
     std::unique_ptr<forward_service> service = std::make_unique<forward_service>(context);
 };
 
-/// Grants every permit, from the loop.
+/// Grants every permit from the event loop.
 class granting_permits final : public slowstart::permit_source {
   public:
     explicit granting_permits(net::event_loop& loop) : loop(loop) {}
@@ -159,15 +160,16 @@
         const slowstart::cold_start& /*target*/,
         std::function<void(const slowstart::permit_decision&)> done) override {
         ++this->asked;
-        return std::make_unique<question>(this->loop, std::move(done));
+        return std::make_unique<pending_reply>(this->loop, std::move(done));
     }
 
     int asked = 0;
 
   private:
-    class question final : public turns::turn_operation {
+    class pending_reply final : public turns::turn_operation {
       public:
-        question(net::event_loop& loop, std::function<void(const slowstart::permit_decision&)> done)
+        pending_reply(net::event_loop& loop,
+                      std::function<void(const slowstart::permit_decision&)> done)
             : timer(loop.after(base::milliseconds{0}, [done = std::move(done)] {
                   done({.verdict = slowstart::permit_verdict::granted});
               })) {}
@@ -188,7 +190,7 @@
 
 }  // namespace
 
-Test(place_check, the_pool_leaves_out_emptied_zones) {
+Test(place_check, pool_skips_emptied_zones) {
     place_rules rules({});
     base::random_source random(1);
     backend_pool pool({.node = "n", .zone = "a"}, random);
@@ -201,28 +203,28 @@
         cr_assert(chosen.has_value() && chosen->target.zone == "b");
         cr_assert(chosen->candidates == 4);
     }
-    cr_assert(pool.closed_by("tool", {}) == place_verdict::permitted);
+    cr_assert(pool.placement_verdict_of("tool", {}) == place_verdict::permitted);
     rules.set_emptied(emptied({"a", "b"}));
     cr_assert(!pool.choose({.service = "tool"}, now).has_value());
-    cr_assert(pool.closed_by("tool", {}) == place_verdict::zone_emptied);
+    cr_assert(pool.placement_verdict_of("tool", {}) == place_verdict::zone_emptied);
     cr_assert(pool.requests_in_emptied() == 40);
 }
 
-Test(place_check, the_gate_sees_the_places_of_open_zones_at_once) {
+Test(place_check, load_counts_only_slots_of_open_zones) {
     place_rules rules({});
     base::random_source random(1);
     backend_pool pool({.node = "n", .zone = "a"}, random);
     const base::instant now{std::chrono::seconds(1)};
     pool.set_places(rules);
     pool.set_backends(two_zones(4), now);
-    cr_assert(pool.load_of("tool", now).places == 32);
+    cr_assert(pool.load_of("tool", now).slots == 32);
     rules.set_emptied(emptied({"a"}));
-    cr_assert(pool.load_of("tool", now).places == 16);
+    cr_assert(pool.load_of("tool", now).slots == 16);
     rules.set_emptied(emptied({}));
-    cr_assert(pool.load_of("tool", now).places == 32);
+    cr_assert(pool.load_of("tool", now).slots == 32);
 }
 
-Test(place_check, a_request_whose_back_end_closes_while_its_connection_opens_goes_elsewhere) {
+Test(place_check, request_is_redirected_when_zone_closes_during_connect) {
     place_fixture node;
     const auto exchange = node.ask();
     cr_assert(node.client.sent.size() == 1 && node.target_of(0) == "i0");
@@ -232,8 +234,8 @@
     node.client.sent[0].callbacks.on_done(withdrawn());
     cr_assert(node.client.sent.size() == 2 && node.target_of(1) == "i1");
     cr_assert(!exchange->answer.has_value());
-    cr_assert(node.pool.requests_in_emptied() == 0, "nothing of it is counted there");
-    // The attempt that was not sent counts as none: one more may follow the second.
+    cr_assert(node.pool.requests_in_emptied() == 0, "the withdrawn request is not counted");
+    // An attempt that was not sent is not counted, so a further one is allowed after the second.
     node.rules.set_emptied(emptied({}));
     node.client.sent[1].callbacks.on_done(withdrawn());
     cr_assert(node.client.sent.size() == 3);
@@ -241,7 +243,7 @@
     node.loop.run();
 }
 
-Test(place_check, what_has_been_sent_is_left_alone) {
+Test(place_check, sent_request_is_not_withdrawn) {
     place_fixture node;
     const auto exchange = node.ask();
     node.rules.set_emptied(emptied({"a"}));
@@ -261,7 +263,7 @@
     cr_assert(node.target_of(1) == "i1");
 }
 
-Test(place_check, a_refusal_names_its_reason_and_when_to_come_back) {
+Test(place_check, rejection_has_reason_and_retry_delay) {
     place_fixture node({"west"});
     const auto first = node.ask();
     cr_assert(first->answer->status == 503);
@@ -274,7 +276,7 @@
     cr_assert(node.client.sent.empty());
 }
 
-Test(place_check, a_node_that_was_never_told_of_emptied_zones_refuses) {
+Test(place_check, node_without_list_of_emptied_zones_rejects) {
     place_fixture node;
     node.rules = place_rules({});
     const auto exchange = node.ask();
@@ -285,8 +287,9 @@
     cr_assert(node.client.sent.size() == 1);
 }
 
-// What the check costs at the choice: the least of several rounds, since the machine is shared.
-Test(place_check, the_check_costs_little_beside_the_choice) {
+// Compares the minimum time of a selection over several rounds with and without the check. The
+// minimum is robust against other load on the machine.
+Test(place_check, check_is_cheap_compared_to_selection) {
     constexpr std::size_t half = 76;
     constexpr int rounds = 20;
     constexpr int choices = 500;
@@ -300,14 +303,15 @@
     const base::instant now{std::chrono::seconds(1)};
     const auto time_of = [&](backend_pool& pool, const places::place_request& place) {
         pool.set_backends(two_zones(half), now);
-        const auto began = std::chrono::steady_clock::now();
+        const auto started_at = std::chrono::steady_clock::now();
         for (int index = 0; index < choices; ++index) {
             const auto chosen = pool.choose({.service = "tool", .place = place}, now);
-            pool.answered(chosen->target.run(), now);
-            pool.ended(chosen->target.run(), attempt_result::served, base::microseconds{1}, now);
+            pool.on_response_head(chosen->target.run(), now);
+            pool.on_attempt_ended(chosen->target.run(), attempt_result::served,
+                                  base::microseconds{1}, now);
         }
         const std::chrono::duration<double, std::micro> took =
-            std::chrono::steady_clock::now() - began;
+            std::chrono::steady_clock::now() - started_at;
         return took.count() / choices;
     };
     double without = 1e9;
@@ -326,8 +330,8 @@
     cr_assert(with_regions < 2 * without + 10);
 }
 
-// A connection that takes longer to come up than the permit lasts.
-Test(place_check, a_permit_that_has_grown_old_is_asked_for_again) {
+// Establishing the connection takes longer than the lifetime of the permit.
+Test(place_check, expired_permit_is_requested_again) {
     place_fixture node;
     slowstart::cold_table cold;
     granting_permits permits(node.loop);
--- a/tests/unit/forward/program_gate_test.cc
+++ b/tests/unit/forward/program_gate_test.cc
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Of so many programs that come at once, those that may begin.
-int begun(program_gate& gate, const service_load& load, base::instant now, int programs = 400) {
+/// Returns how many of `programs` simultaneous programs are admitted.
+int admitted_count(program_gate& gate, const service_load& load, base::instant now,
+                   int programs = 400) {
     int count = 0;
     for (int index = 0; index < programs; ++index) {
         count += gate.judge(load, now).has_value() ? 0 : 1;
@@ -19,8 +20,8 @@
     return count;
 }
 
-service_load filled(double fullness) {
-    return {.places = 100, .requests = 100 * fullness, .is_known = true};
+service_load load_with_fullness(double fullness) {
+    return {.slots = 100, .requests = 100 * fullness, .is_known = true};
 }
 
 directory::backend_list engines(std::initializer_list<std::uint32_t> slots) {
@@ -38,83 +39,84 @@
 
 }  // namespace
 
-Test(program_gate, the_open_gate_lets_everybody_in) {
+Test(program_gate, open_admission_admits_all_programs) {
     const auto gate = make_open_gate();
-    cr_assert(begun(*gate, filled(50), {}) == 400);
+    cr_assert(admitted_count(*gate, load_with_fullness(50), {}) == 400);
 }
 
-Test(program_gate, nobody_is_turned_away_while_there_is_room) {
+Test(program_gate, all_programs_are_admitted_below_lower_bound) {
     base::random_source random(1);
-    const auto gate = make_fullness_gate({}, random);
-    cr_assert(begun(*gate, filled(0), {}) == 400);
-    cr_assert(begun(*gate, filled(gate_options{}.narrows_at), {}) == 400);
+    const auto gate = make_fullness_admission({}, random);
+    cr_assert(admitted_count(*gate, load_with_fullness(0), {}) == 400);
+    cr_assert(admitted_count(*gate, load_with_fullness(admission_options{}.narrows_at), {}) == 400);
 }
 
-Test(program_gate, full_engines_begin_nothing) {
+Test(program_gate, all_programs_are_rejected_above_upper_bound) {
     base::random_source random(1);
-    const auto gate = make_fullness_gate({}, random);
-    cr_assert(begun(*gate, filled(gate_options{}.closes_at), {}) == 0);
-    cr_assert(begun(*gate, filled(9), {}) == 0);
-    cr_assert(gate->judge(filled(9), {}) == gate_options{}.retry_after);
+    const auto gate = make_fullness_admission({}, random);
+    cr_assert(admitted_count(*gate, load_with_fullness(admission_options{}.closes_at), {}) == 0);
+    cr_assert(admitted_count(*gate, load_with_fullness(9), {}) == 0);
+    cr_assert(gate->judge(load_with_fullness(9), {}) == admission_options{}.retry_after);
 }
 
-Test(program_gate, between_its_bounds_it_narrows) {
+Test(program_gate, some_programs_are_admitted_between_bounds) {
     base::random_source random(1);
-    const gate_options options;
-    const auto gate = make_fullness_gate(options, random);
-    const int half = begun(*gate, filled((options.narrows_at + options.closes_at) / 2), {});
+    const admission_options options;
+    const auto gate = make_fullness_admission(options, random);
+    const int half =
+        admitted_count(*gate, load_with_fullness((options.narrows_at + options.closes_at) / 2), {});
     cr_assert(half > 150 && half < 250, "%d of 400", half);
 }
 
-// After a common restart nobody knows the load, and everybody comes back.
-Test(program_gate, while_the_load_is_not_known_neither_all_nor_none_begin) {
+// After a simultaneous restart no node knows the load, and all callers return.
+Test(program_gate, limited_number_is_admitted_while_load_is_unknown) {
     base::random_source random(1);
-    const gate_options options;
-    const auto gate = make_fullness_gate(options, random);
+    const admission_options options;
+    const auto gate = make_fullness_admission(options, random);
     base::instant now(base::milliseconds{10'000});
-    cr_assert(begun(*gate, {}, now) == static_cast<int>(options.unknown_programs));
+    cr_assert(admitted_count(*gate, {}, now) == static_cast<int>(options.unknown_programs));
     now += options.unknown_span;
-    cr_assert(begun(*gate, {}, now) == static_cast<int>(options.unknown_programs));
+    cr_assert(admitted_count(*gate, {}, now) == static_cast<int>(options.unknown_programs));
 }
 
-Test(program_gate, a_service_without_back_ends_is_not_full) {
+Test(program_gate, service_without_back_ends_is_not_full) {
     cr_assert(service_load{}.fullness() == 0);
 }
 
-Test(service_load, adds_up_places_and_requests) {
+Test(service_load, adds_up_slots_and_requests) {
     base::random_source random(1);
     backend_pool pool({}, random);
     pool.set_backends(engines({8, 8, 4}), {});
     pool.choose({.service = "model"}, {});
     pool.choose({.service = "model"}, {});
     const service_load load = pool.load_of("model", {});
-    cr_assert(load.places == 20 && load.requests == 2 && !load.is_known);
-    cr_assert(pool.load_of("other", {}).places == 0);
+    cr_assert(load.slots == 20 && load.requests == 2 && !load.is_known);
+    cr_assert(pool.load_of("other", {}).slots == 0);
 }
 
-Test(service_load, leaving_back_ends_have_no_places) {
+Test(service_load, draining_back_ends_have_no_slots) {
     base::random_source random(1);
     backend_pool pool({}, random);
     directory::backend_list list = engines({8, 8});
     list.backends["e1"].draining = true;
     pool.set_backends(list, {});
-    cr_assert(pool.load_of("model", {}).places == 8);
+    cr_assert(pool.load_of("model", {}).slots == 8);
 }
 
-Test(service_load, a_slow_back_end_counts_for_less) {
+Test(service_load, slow_back_end_has_fewer_slots) {
     base::random_source random(1);
     backend_pool pool({}, random);
     pool.set_backends(engines({8, 8, 8}), {});
     for (int round = 0; round < 100; ++round) {
-        pool.note_event(directory::backend_run("e0"), base::milliseconds{40}, base::instant{});
-        pool.note_event(directory::backend_run("e1"), base::milliseconds{40}, base::instant{});
-        pool.note_event(directory::backend_run("e2"), base::milliseconds{200}, base::instant{});
+        pool.record_event(directory::backend_run("e0"), base::milliseconds{40}, base::instant{});
+        pool.record_event(directory::backend_run("e1"), base::milliseconds{40}, base::instant{});
+        pool.record_event(directory::backend_run("e2"), base::milliseconds{200}, base::instant{});
     }
-    const double places = pool.load_of("model", {}).places;
-    cr_assert(places > 17 && places < 18, "%.1f", places);
+    const double slots = pool.load_of("model", {}).slots;
+    cr_assert(slots > 17 && slots < 18, "%.1f", slots);
 }
 
-Test(engine_priority, programs_under_way_go_before_new_ones_and_late_ones_last) {
+Test(engine_priority, running_programs_precede_new_ones_and_late_ones_are_last) {
     const std::uint32_t under_way = engine_priority({});
     const std::uint32_t first = engine_priority({.is_first = true});
     const std::uint32_t late = engine_priority({.is_late = true});
@@ -122,32 +124,34 @@
     cr_assert(engine_priority({.is_first = true, .is_late = true}) == late);
 }
 
-Test(engine_priority, a_rank_counts_among_equals_only) {
+Test(engine_priority, rank_orders_only_within_group) {
     cr_assert(engine_priority({.rank = 0}) < engine_priority({.rank = 1}));
     cr_assert(engine_priority({.rank = 1}) == engine_priority({.rank = 7}));
     cr_assert(engine_priority({.rank = 7}) < engine_priority({.rank = 0, .is_first = true}));
     cr_assert(engine_priority({.rank = 7, .is_first = true}) < engine_priority({.is_late = true}));
 }
 
-// At one bound engines that are just full enough to be late stay so for as long as callers return.
-Test(program_gate, the_learning_gate_closes_earlier_while_turns_are_late) {
+// With a fixed bound, engines that are just full enough to be late remain so for as long as callers
+// return.
+Test(program_gate, adaptive_admission_closes_earlier_while_turns_are_late) {
     base::random_source random(1);
-    const gate_options options;
+    const admission_options options;
     const auto gate = make_learning_gate(options, random);
     base::instant now(base::milliseconds{10'000});
-    const double full = options.least_closes_at;
-    const int before = begun(*gate, filled(full), now);
+    const double full = options.min_closes_at;
+    const int before = admitted_count(*gate, load_with_fullness(full), now);
     cr_assert(before > 200, "%d", before);
     const auto turns = [&](int count, bool in_time) {
         for (int index = 0; index < count; ++index) {
             now += base::milliseconds{50};
-            gate->note_turn(in_time, now);
+            gate->record_turn(in_time, now);
         }
     };
     turns(60, false);
-    cr_assert(begun(*gate, filled(full), now) == 0);
-    cr_assert(begun(*gate, filled(0.6), now) == 400, "engines with room are never closed");
+    cr_assert(admitted_count(*gate, load_with_fullness(full), now) == 0);
+    cr_assert(admitted_count(*gate, load_with_fullness(0.6), now) == 400,
+              "engines with spare capacity are never closed");
     turns(400, true);
-    const int after = begun(*gate, filled(full), now);
-    cr_assert(after > 200, "%d: it opens again", after);
+    const int after = admitted_count(*gate, load_with_fullness(full), now);
+    cr_assert(after > 200, "%d: admission reopens", after);
 }
--- a/tests/unit/forward/request_facts_test.cc
+++ b/tests/unit/forward/request_facts_test.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Test(request_facts, reads_identity_time_and_program) {
+Test(request_facts, reads_identity_deadline_and_program) {
     const header_names names;
     const auto facts = read_facts(request_with({{"Host", "h"},
                                                 {"X-Request-Id", "r"},
@@ -35,19 +35,19 @@
     cr_assert(facts->prompt_tokens == 10);
 }
 
-Test(request_facts, a_request_without_token_usage_tells_no_prompt) {
+Test(request_facts, request_without_token_usage_has_no_prompt_tokens) {
     for (const char* usage : {"", "x,20", ","}) {
         const auto facts = read_facts(request_with({{"X-Token-Usage", usage}}), {});
         cr_assert(facts.ok() && facts->prompt_tokens == 0, "%s", usage);
     }
 }
 
-Test(request_facts, a_request_without_budget_is_no_turn) {
+Test(request_facts, request_without_budget_is_not_a_turn) {
     const auto facts = read_facts(request_with({{"X-Program-Id", "p"}}), {});
     cr_assert(facts.ok() && !facts->turn.has_value());
 }
 
-Test(request_facts, names_the_header_that_is_wrong) {
+Test(request_facts, error_names_malformed_header) {
     const auto deadline = read_facts(request_with({{"X-Request-Deadline-Ms", "-1"}}), {});
     cr_assert(deadline.status().ToString().find("X-Request-Deadline-Ms") != std::string::npos);
     const auto usage = read_facts(
@@ -55,18 +55,18 @@
     cr_assert(usage.status().ToString().find("X-Token-Usage") != std::string::npos);
 }
 
-Test(request_facts, headers_of_one_connection_are_not_passed_on) {
+Test(request_facts, hop_by_hop_headers_are_not_forwarded) {
     const header_names names;
-    const auto passed = passed_on({{"Host", "h"},
-                                   {"Connection", "keep-alive, X-Mine"},
-                                   {"X-Mine", "1"},
-                                   {"Keep-Alive", "timeout=5"},
-                                   {"Transfer-Encoding", "chunked"},
-                                   {"Content-Length", "3"},
-                                   {"X-Request-Deadline-Ms", "5"},
-                                   {"X-Target-Backend", "smuggled"},
-                                   {"X-Other", "kept"}},
-                                  names);
+    const auto passed = forwarded_headers({{"Host", "h"},
+                                           {"Connection", "keep-alive, X-Mine"},
+                                           {"X-Mine", "1"},
+                                           {"Keep-Alive", "timeout=5"},
+                                           {"Transfer-Encoding", "chunked"},
+                                           {"Content-Length", "3"},
+                                           {"X-Request-Deadline-Ms", "5"},
+                                           {"X-Target-Backend", "smuggled"},
+                                           {"X-Other", "kept"}},
+                                          names);
     cr_assert(passed.all().size() == 2);
     cr_assert(passed.find("Host") == "h" && passed.find("X-Other") == "kept");
 }
@@ -81,31 +81,33 @@
 
 }  // namespace
 
-// What a caller could use to act as another tenant, or to go on from another caller's memory.
-Test(request_facts, what_only_the_system_sets_is_dropped_however_it_is_written) {
-    const auto passed = passed_on({{"Host", "h"},
-                                   {"X-Tenant", "other"},
-                                   {"x-tenant", "other"},
-                                   {"X_Tenant", "other"},
-                                   {"X-Api-Key", "secret"},
-                                   {"x-API-key", "secret"},
-                                   {"X-Engine-Priority", "0"},
-                                   {"X-HOLD", "7"},
-                                   {"x-hold", "8, 9"},
-                                   {"kv-FROM", "10.0.0.1:80/3"},
-                                   {"Kv_From", "10.0.0.1:80/3"},
-                                   {"X-Other", "kept"}},
-                                  with_reserved());
+// Headers with which a caller could act as another tenant or continue from the memory of another
+// caller.
+Test(request_facts, reserved_headers_are_dropped_in_any_spelling) {
+    const auto passed = forwarded_headers({{"Host", "h"},
+                                           {"X-Tenant", "other"},
+                                           {"x-tenant", "other"},
+                                           {"X_Tenant", "other"},
+                                           {"X-Api-Key", "secret"},
+                                           {"x-API-key", "secret"},
+                                           {"X-Engine-Priority", "0"},
+                                           {"X-HOLD", "7"},
+                                           {"x-hold", "8, 9"},
+                                           {"kv-FROM", "10.0.0.1:80/3"},
+                                           {"Kv_From", "10.0.0.1:80/3"},
+                                           {"X-Other", "kept"}},
+                                          with_reserved());
     cr_assert(passed.all().size() == 2, "%zu", passed.all().size());
     cr_assert(passed.find("Host") == "h" && passed.find("X-Other") == "kept");
 }
 
-Test(request_facts, the_id_is_passed_on_even_if_the_caller_calls_it_the_connections_own) {
-    const auto passed = passed_on({{"X-Request-Id", "r"}, {"Connection", "X-Request-Id"}}, {});
+Test(request_facts, request_id_is_forwarded_even_if_listed_as_hop_by_hop) {
+    const auto passed =
+        forwarded_headers({{"X-Request-Id", "r"}, {"Connection", "X-Request-Id"}}, {});
     cr_assert(passed.find("X-Request-Id") == "r");
 }
 
-Test(request_facts, counts_the_keys) {
+Test(request_facts, counts_key_headers) {
     const auto one = read_facts(request_with({{"X-Api-Key", " k "}}), {});
     cr_assert(one->key_count == 1 && one->key == "k");
     cr_assert(read_facts(request_with({}), {})->key_count == 0);
@@ -113,7 +115,7 @@
     cr_assert(two->key_count == 2);
 }
 
-// A seeded harness: whatever a caller writes, a back end reads no reserved header.
+// Property test with a fixed seed: no spelling of a reserved header reaches a back end.
 Test(request_facts, no_spelling_brings_a_reserved_header_through) {
     base::random_source random(4711);
     const header_names names = with_reserved();
@@ -138,7 +140,7 @@
             headers.add("Connection", "close, X-Tenant");
         }
         headers.add("X-Own", "kept");
-        const auto passed = passed_on(headers, names);
+        const auto passed = forwarded_headers(headers, names);
         cr_assert(passed.all().size() == 1 && passed.find("X-Own") == "kept", "round %d", round);
     }
 }
--- a/tests/unit/forward/service_backends_test.cc
+++ b/tests/unit/forward/service_backends_test.cc
@@ -1,4 +1,4 @@
-// The bounded choice: how evenly, how steadily and how cheaply a few of many are looked at.
+// Selection among a bounded number of back ends: balance, stability and cost.
 #include "pearbarrow/forward/service_backends.h"
 
 #include <chrono>
@@ -27,7 +27,7 @@
             .slots = 6};
 }
 
-/// As many back ends as told, dealt to six zones.
+/// Creates back ends distributed over six zones.
 directory::backend_list list_of(std::size_t size, const std::string& service = "model") {
     directory::backend_list list{.revision = 1, .backends = {}};
     for (std::size_t index = 0; index < size; ++index) {
@@ -45,7 +45,7 @@
         this->pool.set_backends(list_of(backends), this->now);
     }
 
-    /// Chooses, and ends the attempt at once.
+    /// Selects a back end and withdraws the selection.
     choice choose(const choice_request& request) {
         auto made = this->pool.choose(request, this->now);
         cr_assert(made.has_value());
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-Test(service_backends, every_node_of_a_zone_finds_the_same_engine_for_a_program) {
+Test(service_backends, nodes_of_a_zone_select_same_engine_for_a_program) {
     choosing_node one("edge-1", "z2", 6'000);
     choosing_node other("edge-2", "z2", 6'000);
     for (int program = 0; program < 200; ++program) {
@@ -77,7 +77,7 @@
     }
 }
 
-Test(service_backends, programs_spread_evenly_over_a_zones_engines) {
+Test(service_backends, programs_spread_evenly_over_engines_of_a_zone) {
     choosing_node node("edge-1", "z0", 6'000);
     std::map<std::string, int> counts;
     constexpr int programs = 20'000;
@@ -89,13 +89,13 @@
     for (const auto& [id, count] : counts) {
         most = std::max(most, static_cast<double>(count));
     }
-    // 20 each in the mean: by chance alone the fullest of 1,000 has 36; the windows' eighth comes
-    // on top.
+    // The mean is 20. By chance alone the fullest of 1,000 engines has 36, and the deviation of an
+    // eighth caused by the windows adds to that.
     cr_assert(most <= 2.5 * programs / engines, "%.0f programs at one engine", most);
     cr_assert(counts.size() >= 0.99 * engines, "%zu engines are used", counts.size());
 }
 
-Test(service_backends, an_engine_that_leaves_moves_its_own_programs_only) {
+Test(service_backends, removed_engine_moves_only_its_own_programs) {
     choosing_node node("edge-1", "z0", 1'200);
     std::map<std::string, std::string> before;
     for (int program = 0; program < 3'000; ++program) {
@@ -114,7 +114,7 @@
     cr_assert(moved <= 15, "%d programs of other engines moved", moved);
 }
 
-Test(service_backends, a_whole_window_that_rests_is_passed_over) {
+Test(service_backends, fully_excluded_window_is_skipped) {
     choosing_node node("edge-1", "z0", 1'200, choice_kind::load);
     choice_request request{.service = "model", .affinity_key = "program"};
     for (int attempt = 0; attempt < 500; ++attempt) {
@@ -122,10 +122,10 @@
         cr_assert(made.has_value());
         request.excluded.insert(made->target.id);
     }
-    cr_assert(request.excluded.size() == 500, "every choice was another one");
+    cr_assert(request.excluded.size() == 500, "every selection returned another back end");
 }
 
-Test(service_backends, what_comes_and_goes_leaves_the_orders_whole) {
+Test(service_backends, orders_stay_consistent_after_changes) {
     base::random_source random(4);
     service_backends service("z0");
     std::list<pool_entry> entries;
@@ -143,7 +143,7 @@
             one.listed = false;
             one.vanished_at = base::instant{base::seconds{random.below(10)}};
             service.add(one);
-            service.note_vanished(one);
+            service.record_vanished(one);
             --usable;
         }
     }
@@ -165,65 +165,67 @@
     cr_assert(service.vanished_since(base::instant{base::seconds{-1}}) == 0);
 }
 
-// Requests that come one after the other use the connection that is open.
-Test(service_backends, requests_stay_where_a_connection_is_free) {
+// Sequential requests reuse the open connection.
+Test(service_backends, sequential_requests_reuse_connection) {
     choosing_node node("edge-1", "z0", 3'000, choice_kind::load);
     std::set<std::string> used;
     for (int request = 0; request < 30; ++request) {
-        const base::instant began = node.now;
-        const auto made = node.pool.choose({.service = "model"}, began);
+        const base::instant started_at = node.now;
+        const auto made = node.pool.choose({.service = "model"}, started_at);
         cr_assert(made.has_value());
         used.insert(made->target.id);
         node.now += milliseconds{100};
-        node.pool.answered(made->target.run(), began);
-        node.pool.ended(made->target.run(), attempt_result::served, milliseconds{100}, node.now);
+        node.pool.on_response_head(made->target.run(), started_at);
+        node.pool.on_attempt_ended(made->target.run(), attempt_result::served, milliseconds{100},
+                                   node.now);
         node.now += milliseconds{900};
     }
     cr_assert(used.size() == 1, "%zu back ends for one request at a time", used.size());
 }
 
-Test(service_backends, a_program_begins_where_a_connection_is_free) {
+Test(service_backends, first_turn_prefers_idle_connection) {
     choosing_node node("edge-1", "z0", 3'000);
     std::set<std::string> used;
     for (int program = 0; program < 30; ++program) {
-        const base::instant began = node.now;
+        const base::instant started_at = node.now;
         auto made = node.pool.choose({.service = "model",
                                       .affinity_key = "program-" + std::to_string(program),
                                       .excluded = {},
                                       .place = {},
                                       .without_permit = {},
                                       .prompt_tokens = 500,
-                                      .begins = true},
-                                     began);
+                                      .is_first = true},
+                                     started_at);
         cr_assert(made.has_value());
         used.insert(made->target.id);
         node.now += milliseconds{100};
-        node.pool.answered(made->target.run(), began);
-        node.pool.prompt_read(*made, milliseconds{40}, node.now);
-        node.pool.ended(made->target.run(), attempt_result::served, milliseconds{100}, node.now);
+        node.pool.on_response_head(made->target.run(), started_at);
+        node.pool.on_prompt_read(*made, milliseconds{40}, node.now);
+        node.pool.on_attempt_ended(made->target.run(), attempt_result::served, milliseconds{100},
+                                   node.now);
         node.now += milliseconds{900};
     }
     cr_assert(used.size() <= 3, "%zu engines for one program at a time", used.size());
 }
 
-// What a choice looks at, and what it takes, at two sizes of the fleet. The same two programs
-// throughout, so that as many entries are touched at both sizes: with 40 programs all of 10,000
-// entries (6 MB) go through the processor's cache where 1,000 stay in it, and beside other work
-// that alone took 3.7 to 4.9 times as long in 8 of 48 runs.
+// Checks the number of back ends visited and the time per selection at two fleet sizes. Two
+// programs are used, so that the same number of entries is touched at both sizes. With 40 programs,
+// the 10,000 entries (6 MB) do not fit into the processor cache while 1,000 do, which alone makes a
+// selection 3.7 to 4.9 times as slow in 8 of 48 runs under other load.
 Test(service_backends, a_choice_costs_what_it_looks_at) {
     const auto time_of_choices = [](std::size_t size, bool is_keyed) {
         choosing_node node("edge-1", "z0", size);
         auto shortest = std::chrono::nanoseconds::max();
         for (int trial = 0; trial < 20; ++trial) {
-            const auto began = std::chrono::steady_clock::now();
+            const auto started_at = std::chrono::steady_clock::now();
             for (int request = 0; request < 10; ++request) {
                 const choice made = is_keyed
                                         ? node.choose_for("program-" + std::to_string(request % 2))
                                         : node.choose({.service = "model"});
                 cr_assert(made.candidates <= 6 * ring_window);
             }
-            shortest = std::min<std::chrono::nanoseconds>(shortest,
-                                                          std::chrono::steady_clock::now() - began);
+            shortest = std::min<std::chrono::nanoseconds>(
+                shortest, std::chrono::steady_clock::now() - started_at);
         }
         return static_cast<double>(shortest.count());
     };
--- a/tests/unit/forward/slow_reader_test.cc
+++ b/tests/unit/forward/slow_reader_test.cc
@@ -1,4 +1,4 @@
-// Callers that read slowly, beside quick ones: what they cost the node and the others.
+// Slow callers next to fast ones, and their effect on the node and on the other callers.
 #include <list>
 
 #include "../net/http_fixture.h"
@@ -19,9 +19,9 @@
 
 constexpr std::size_t kilobyte = 1024;
 constexpr std::size_t megabyte = 1024 * kilobyte;
-/// More than a socket's buffers take by themselves.
+/// Exceeds the capacity of the socket buffers.
 constexpr std::size_t large_answer = 8 * megabyte;
-/// What a node of 88 MB may hold.
+/// Buffer limit of a node with 88 MB of memory.
 constexpr std::size_t node_bound = 29 * megabyte;
 
 header_names names() {
@@ -49,7 +49,7 @@
 
 /// A forwarding node between real callers and one back end.
 struct slow_reader_fixture {
-    /// `holds_back`: the node counts what it holds, and goes by it.
+    /// If `holds_back` is true, the node counts its buffered bytes and applies backpressure.
     explicit slow_reader_fixture(std::size_t bound, bool holds_back = true)
         : held(std::make_shared<net::held_bytes>(
               net::held_bytes_options{.bound = bound, .stalled_after = base::milliseconds{200}})) {
@@ -95,15 +95,15 @@
                     std::to_string(++this->asked) + "\r\n\r\n");
         return client;
     }
-    /// Time of a small answer beside whatever else is under way.
-    base::milliseconds quick_answer() {
+    /// Returns the response time of a small request during the load of the test.
+    base::milliseconds quick_response() {
         std::list<raw_client> clients;
-        const auto began = std::chrono::steady_clock::now();
+        const auto started_at = std::chrono::steady_clock::now();
         raw_client& client = this->ask(clients, "/small", 0);
         cr_assert(run_until(this->loop,
                             [&] { return client.received.size() > 800 || client.has("200 OK"); }));
         return std::chrono::duration_cast<base::milliseconds>(std::chrono::steady_clock::now() -
-                                                              began);
+                                                              started_at);
     }
 
     net::event_loop loop;
@@ -137,7 +137,7 @@
     int asked = 0;
 };
 
-/// Whether the end of the last chunk has come.
+/// Returns whether the final chunk was received.
 bool is_whole(const raw_client& client) {
     return client.received.size() > large_answer &&
            client.received.compare(client.received.size() - 5, 5, "0\r\n\r\n") == 0;
@@ -145,8 +145,9 @@
 
 }  // namespace
 
-// Without a bound the node holds every answer: 40 of 8 MB, less what the sockets take.
-Test(slow_reader, without_a_bound_a_node_holds_all_that_is_not_read) {
+// Without a bound the node buffers every response: 40 of 8 MB, less the content of the socket
+// buffers.
+Test(slow_reader, without_bound_all_unread_bytes_are_buffered) {
     slow_reader_fixture node(0, false);
     std::list<raw_client> slow;
     for (int index = 0; index < 40; ++index) {
@@ -160,27 +161,29 @@
     cr_assert(most > 2 * node_bound, "%zu bytes", most);
 }
 
-Test(slow_reader, many_slow_readers_cost_the_node_no_more_than_its_bound) {
+Test(slow_reader, buffered_bytes_of_slow_readers_stay_within_bound) {
     slow_reader_fixture node(node_bound);
     std::list<raw_client> slow;
     for (int index = 0; index < 40; ++index) {
         node.ask(slow, "/large", 4'096);
     }
-    // The back end is in this process: its 320 MB are not what the quick ones are measured beside.
+    // The back end runs in this process, so the fast callers start only after it has produced its
+    // 320 MB.
     cr_assert(run_until(node.loop, [&] { return node.runs == 40; }));
     run_for(node.loop, base::milliseconds{800});
     std::size_t most = 0;
     base::milliseconds slowest{0};
     for (int index = 0; index < 50; ++index) {
-        slowest = std::max(slowest, node.quick_answer());
+        slowest = std::max(slowest, node.quick_response());
         most = std::max(most, node.held->total());
     }
     cr_assert(most <= node_bound, "%zu bytes held", most);
-    cr_assert(most > megabyte, "%zu bytes held: the load was none", most);
-    // As without them: some milliseconds, and some more of a busy machine.
+    cr_assert(most > megabyte, "%zu bytes buffered: there was no load", most);
+    // Without slow callers this takes a few milliseconds. The limit allows for a busy machine.
     cr_assert(slowest <= base::milliseconds{200}, "%lld ms",
               static_cast<long long>(slowest.count()));
-    // Those that read on get all of it, the others are broken off and look so.
+    // Callers that continue to read receive the whole response. The others are disconnected and can
+    // detect it.
     std::list<raw_client*> reading;
     for (raw_client& client : slow) {
         if (reading.size() < 20) {
@@ -195,9 +198,9 @@
                            [](const raw_client* client) { return is_whole(*client); });
     }));
     cr_assert(run_until(node.loop, [&] { return node.service.open_requests() == 0; }),
-              "who takes nothing is given up");
+              "callers that do not read are disconnected");
     for (raw_client& client : slow) {
-        cr_assert(is_whole(client) || client.closed(), "neither whole nor broken off");
+        cr_assert(is_whole(client) || client.closed(), "neither complete nor disconnected");
     }
     cr_assert(node.held->total() == 0, "%zu bytes", node.held->total());
     const std::string text = node.metrics.text();
@@ -205,16 +208,16 @@
     cr_assert(text.find("pearbarrow_forward_held_back_total") != std::string::npos);
 }
 
-// A back end that takes nothing of its request: its callers' bodies are counted, and other requests
-// go on.
-Test(slow_reader, a_back_end_that_reads_nothing_holds_up_nobody_else) {
+// A back end does not read its requests. The buffered bodies of its callers are counted, and other
+// requests continue.
+Test(slow_reader, unresponsive_back_end_does_not_block_other_requests) {
     slow_reader_fixture node(node_bound);
-    net::testing::raw_server deaf;
+    net::testing::raw_server unresponsive;
     node.pool.set_backends({.revision = 2,
                             .backends = {{"deaf",
                                           {.id = "deaf",
                                            .service = "tool",
-                                           .address = deaf.local_endpoint(),
+                                           .address = unresponsive.local_endpoint(),
                                            .zone = "",
                                            .slots = 1'000}}}},
                            node.clock.now());
@@ -238,12 +241,12 @@
     cr_assert(run_until(node.loop, [&] { return node.held->of(net::holding::requests) > 0; }));
     const auto refused = std::count_if(clients.begin(), clients.end(),
                                        [](raw_client& client) { return client.has("503"); });
-    cr_assert(refused > 0, "no room for all of them");
+    cr_assert(refused > 0, "the buffers cannot hold all requests");
 }
 
-// An answer that is longer than what is gathered is passed on as it comes, and an end that comes
-// too early never looks like one.
-Test(slow_reader, a_long_answer_that_breaks_off_does_not_look_whole) {
+// A response larger than the buffer is streamed. If it breaks off early, the caller must not take
+// it for complete.
+Test(slow_reader, truncated_long_response_does_not_look_complete) {
     slow_reader_fixture node(node_bound);
     net::testing::raw_server broken;
     node.pool.set_backends({.revision = 2,
--- a/tests/unit/forward/zone_load_simulation_test.cc
+++ b/tests/unit/forward/zone_load_simulation_test.cc
@@ -1,5 +1,5 @@
-// Three regions of two zones each, in virtual time: the callers of one region bring three times
-// their load for ten seconds while the other two have room.
+// Three regions of two zones each, in virtual time. For ten seconds the callers of one region send
+// three times their usual load while the other two regions have spare capacity.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -27,7 +27,7 @@
 constexpr std::size_t edges_in_zone = 4;
 constexpr std::size_t engine_count = zone_count * engines_in_zone;
 constexpr std::size_t edge_count = zone_count * edges_in_zone;
-constexpr std::uint32_t places = 24;
+constexpr std::uint32_t slots = 24;
 constexpr std::uint64_t memory_tokens = 205'502;
 constexpr std::uint64_t shared_tokens = 2'560;
 constexpr std::uint64_t answer_tokens = 33;
@@ -37,12 +37,12 @@
 constexpr int burst_to_ms = 15'000;
 constexpr double burst_factor = 3;
 constexpr int report_interval_ms = 20;
-/// One way, in whole milliseconds of the simulation.
+/// One-way delay in milliseconds of simulated time.
 constexpr int zone_way_ms = 1;
 constexpr int region_way_ms = 8;
 
-/// Short chats and long conversations: turns, tokens that each turn adds, the callers' pause, how
-/// many begin in a second, and how many times the time on idle engines callers will wait.
+/// Short chats and long conversations: turns, tokens added by each turn, delay of the callers,
+/// starts per second, and the deadline as a multiple of the duration on idle engines.
 struct program_kind {
     int turns;
     std::uint64_t turn_tokens;
@@ -52,7 +52,7 @@
 };
 constexpr std::array<program_kind, 2> kinds{program_kind{3, 1'030, 60, 85, 2.4},
                                             program_kind{11, 514, 20, 27, 2.2}};
-/// A turn on an idle engine, beside the reading of what it adds.
+/// Duration of a turn on an idle engine without the prefill of its new tokens.
 constexpr int idle_turn_ms = 270;
 
 struct way {
@@ -93,7 +93,7 @@
                             .decode_sequence = 1.15,
                             .decode_context_kilotoken = 12.9};
             engine.cache.total_blocks = memory_tokens / emulator::block_tokens;
-            engine.max_running = places;
+            engine.max_running = slots;
             engine.max_waiting = 72;
             engine.prefill_tokens_per_step = 1'024;
             this->engines.push_back(std::make_unique<emulator::engine_model>(engine));
@@ -101,7 +101,7 @@
             backend.id = "e" + std::to_string(index);
             backend.service = "model";
             backend.zone = zone_name(index % zone_count);
-            backend.slots = places;
+            backend.slots = slots;
             this->backends.backends[backend.id] = backend;
         }
         this->backends.revision = 1;
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Of the programs that began in the burst by a zone: those that ended in time.
+    /// Share of the programs started by a zone during the burst that completed in time.
     double in_time(std::size_t zone) const {
         int count = 0;
         int timely = 0;
         for (const program& one : this->programs) {
-            // Those that began late can't have ended.
+            // Programs that started late cannot have completed.
             if (one.zone == zone && one.began_ms >= burst_from_ms &&
                 one.began_ms < burst_to_ms - 3'000) {
                 ++count;
@@ -141,7 +141,7 @@
         }
         return static_cast<double>(timely) / std::max(1, count);
     }
-    /// Shares of the burst zones' first turns that left their region, by half seconds.
+    /// Shares of the first turns of the burst zones that left their region, by half second.
     std::vector<double> sent_away(int from_ms, int to_ms) const {
         std::vector<double> shares;
         for (int at = from_ms; at < to_ms; at += 500) {
@@ -155,7 +155,7 @@
         }
         return shares;
     }
-    /// In the burst, for one engine: tokens waiting to be read, and requests.
+    /// Tokens waiting for prefill and requests per engine during the burst.
     double mean_unread(std::size_t zone) const { return this->unread[zone] / this->samples; }
     double mean_requests(std::size_t zone) const { return this->requests[zone] / this->samples; }
     std::uint64_t tokens_read() const {
@@ -219,24 +219,24 @@
         return blocks;
     }
 
-    /// Each turn comes by another edge of the caller's zone.
+    /// Each turn arrives through another edge of the zone of the caller.
     void send_turn(std::size_t number) {
         program& one = this->programs[number];
         one.edge = one.zone + zone_count * this->random.below(edges_in_zone);
         backend_pool& pool = *this->edges[one.edge]->pool;
-        one.placed =
-            pool.choose({.service = "model",
-                         .affinity_key = "p" + std::to_string(number),
-                         .excluded = {},
-                         .prompt_tokens = prompt_tokens(one),
-                         .begins = one.turn == 0,
-                         .earlier = one.turn == 0 ? 0 : dispatch::key_of(one.placed->target.id)},
-                        this->instant());
+        one.placed = pool.choose(
+            {.service = "model",
+             .affinity_key = "p" + std::to_string(number),
+             .excluded = {},
+             .prompt_tokens = prompt_tokens(one),
+             .is_first = one.turn == 0,
+             .previous_backend = one.turn == 0 ? 0 : dispatch::key_of(one.placed->target.id)},
+            this->instant());
         one.engine = std::stoul(one.placed->target.id.substr(1));
         one.sent_ms = this->now_ms;
         one.had_event = false;
-        pool.note_connection(one.placed->target.run(), milliseconds{2 * this->way_ms(one)},
-                             this->instant());
+        pool.record_connection(one.placed->target.run(), milliseconds{2 * this->way_ms(one)},
+                               this->instant());
         if (one.turn == 0 && one.zone < 2) {
             this->first_turns.emplace_back(this->now_ms, one.engine % zone_count >= 2);
         }
@@ -270,10 +270,10 @@
 
     void end_attempt(program& one, attempt_result result) {
         backend_pool& pool = *this->edges[one.edge]->pool;
-        pool.prompt_dropped(*one.placed);
-        pool.answered(one.placed->target.run(), this->instant_at(one.sent_ms));
-        pool.ended(one.placed->target.run(), result, milliseconds{this->now_ms - one.sent_ms},
-                   this->instant());
+        pool.on_prompt_dropped(*one.placed);
+        pool.on_response_head(one.placed->target.run(), this->instant_at(one.sent_ms));
+        pool.on_attempt_ended(one.placed->target.run(), result,
+                              milliseconds{this->now_ms - one.sent_ms}, this->instant());
     }
 
     void run_engines() {
@@ -304,12 +304,13 @@
         backend_pool& pool = *this->edges[one.edge]->pool;
         if (!std::exchange(one.had_event, true)) {
             const int took = this->now_ms + this->way_ms(one) - one.sent_ms;
-            pool.answered(one.placed->target.run(), this->instant_at(one.sent_ms));
-            pool.prompt_read(*one.placed, milliseconds{took}, this->instant());
+            pool.on_response_head(one.placed->target.run(), this->instant_at(one.sent_ms));
+            pool.on_prompt_read(*one.placed, milliseconds{took}, this->instant());
             this->last_event[number] = this->now_ms;
         } else if (token % tokens_of_event == 0) {
-            pool.note_event(one.placed->target.run(),
-                            milliseconds{this->now_ms - this->last_event[number]}, this->instant());
+            pool.record_event(one.placed->target.run(),
+                              milliseconds{this->now_ms - this->last_event[number]},
+                              this->instant());
             this->last_event[number] = this->now_ms;
         }
     }
@@ -414,10 +415,10 @@
 
 }  // namespace
 
-// What callers of the full zones got in time with requests for each place as load: 0.19 and 0.14,
-// with 32,800 and 36,500 tokens waiting to be read for one engine, 3,300 to 4,100 in the other
-// zones (requests there 20 and 21 of 24 places, and 4 to 5).
-Test(zone_load_simulation, callers_of_full_zones_are_served_by_others_that_have_room) {
+// With selection by requests per slot, 0.19 and 0.14 of the programs of the full zones complete in
+// time. There 32,800 and 36,500 tokens per engine wait for prefill, compared to 3,300 to 4,100 in
+// the other zones. Requests occupy 20 and 21 of 24 slots, compared to 4 to 5.
+Test(zone_load_simulation, callers_of_full_zones_are_served_by_other_zones) {
     zones fleet({.choice = choice_kind::cost}, 1);
     fleet.run();
     print_table("by cost", fleet);
@@ -427,7 +428,7 @@
     }
 }
 
-Test(zone_load_simulation, the_load_is_one_that_requests_for_each_place_do_not_balance) {
+Test(zone_load_simulation, selection_by_requests_per_slot_does_not_balance_load) {
     zones fleet({.choice = choice_kind::load}, 1);
     fleet.run();
     print_table("by requests for each place", fleet);
@@ -437,8 +438,8 @@
 
 namespace {
 
-/// The share of first turns that leave the full region neither swings from half second to half
-/// second nor stays when there is room again.
+/// The share of first turns that leave the full region must neither oscillate between half seconds
+/// nor persist once there is capacity again.
 void expect_steady(int lag_ms, double most_swing) {
     zones fleet({.choice = choice_kind::cost, .report_lag_ms = lag_ms}, 1);
     fleet.run();
@@ -460,10 +461,10 @@
 
 }  // namespace
 
-Test(zone_load_simulation, the_balance_is_steady_with_reports_8_ms_late) {
+Test(zone_load_simulation, balance_is_steady_with_reports_delayed_by_8_ms) {
     expect_steady(8, 0.4);
 }
 
-Test(zone_load_simulation, the_balance_is_steady_with_reports_a_second_late) {
+Test(zone_load_simulation, balance_is_steady_with_reports_delayed_by_one_second) {
     expect_steady(1'000, 0.6);
 }
