--- a/src/pearbarrow/directory/backend_index.h
+++ b/src/pearbarrow/directory/backend_index.h
@@ -1,13 +1,14 @@
-/// Changes the list of back ends in place, and knows what has changed since an earlier list.
+/// Updates the list of back ends in place and records what changed since earlier versions of it.
 ///
-/// A pure state machine beside the list. A change costs what has changed, not the list: 10,000 back
-/// ends of which some tens change every second would else be copied, packed and compared on every
-/// node each time. Every entry is as of the revision of the outside service at which it was
-/// written, and a list is complete as of its own revision; entries may be newer than that.
+/// A pure state machine next to the list. The cost of an update depends on the number of changes
+/// and not on the size of the list: with 10,000 back ends of which some tens change every second,
+/// every node would otherwise copy, pack and compare the whole list each time. Every entry carries
+/// the revision of the directory service at which it was written. A list is complete as of its own
+/// revision, and single entries may be newer than that.
 ///
-/// Two lists are compared by digests: of the whole, and of the parts that the hash of an id divides
-/// it into (`digest_parts`). Who has held a list of the same contents is told the changes since;
-/// whoever else is told the parts that differ.
+/// Lists are compared by digests: one of the whole list, and one of each part. The hash of an id
+/// assigns it to a part (`digest_parts`). A node that has held a list with the same contents
+/// receives the changes since then; any other node receives the parts that differ.
 #pragma once
 
 #include <array>
@@ -25,26 +26,26 @@
 
 namespace pearbarrow::directory {
 
-/// Of 20,000 back ends a part has 78, some 8 kB: a node that missed a few changes is told a few
-/// parts, and all digests together are 2.3 kB.
+/// With 20,000 back ends a part has 78 of them, about 8 kB. A node that missed a few changes
+/// receives a few parts, and all digests together take 2.3 kB.
 inline constexpr std::size_t digest_parts = 256;
 
-/// Digest of a list without back ends; a node that holds no list tells 0.
-inline constexpr std::uint64_t digest_of_nothing = 0x6e6f'7468'696e'6731;
+/// Digest of a list without back ends. A node that holds no list sends 0.
+inline constexpr std::uint64_t empty_list_digest = 0x6e6f'7468'696e'6731;
 
-/// The part of the list that a back end belongs to.
+/// Returns the part of the list that a back end belongs to.
 std::uint32_t part_of(std::string_view id);
 
-/// What a list holds, part by part.
+/// Digests of all parts of a list.
 struct backend_digests {
     std::uint64_t revision = 0;
-    /// Of each part; equal where the contents are.
+    /// One digest per part. Parts with equal digests have equal contents.
     std::vector<std::uint64_t> parts;
 
     MSGPACK_DEFINE(revision, parts);
 };
 
-/// Everything that a list holds in some parts.
+/// All entries of some parts of a list.
 struct backend_parts {
     std::uint64_t revision = 0;
     std::vector<std::uint32_t> parts;
@@ -53,10 +54,10 @@
     MSGPACK_DEFINE(revision, parts, present);
 };
 
-/// What the outside service has told of back ends from one revision to a later one, with nothing
-/// left out.
+/// Changes of back ends that the directory service reported from one revision to a later one,
+/// without gaps.
 struct backend_events {
-    struct end {
+    struct removal {
         std::string id;
         std::uint64_t revision = 0;
     };
@@ -64,76 +65,81 @@
     std::uint64_t after = 0;
     std::uint64_t revision = 0;
     std::vector<backend> present;
-    std::vector<end> gone;
+    std::vector<removal> gone;
 };
 
-/// All back ends as the outside service lists them.
-struct backend_reading {
+/// The full list of back ends as read from the directory service.
+struct backend_listing {
     std::uint64_t revision = 0;
-    /// Of all that are listed.
+    /// Ids of all listed back ends.
     std::set<std::string, std::less<>> ids;
-    /// Those that were not known so before.
+    /// Entries that are new or differ from the known ones.
     std::vector<backend> changed;
 };
 
 class backend_index {
   public:
     backend_index() = default;
-    // What stands in `members` points into one list.
+    // The entries of `members` point into one list.
     backend_index(const backend_index&) = delete;
     backend_index& operator=(const backend_index&) = delete;
     backend_index(backend_index&&) = default;
     backend_index& operator=(backend_index&&) = default;
 
-    // Each brings the list forward and gives what it has changed. Always the same list, empty at
-    // first. Nothing older replaces anything newer, whatever comes in which order.
-
-    /// Another node's whole list.
-    backend_changes take(backend_list& held, const backend_list& next);
-    backend_changes take(backend_list& held, const backend_reading& reading);
-    backend_changes take(backend_list& held, const backend_events& events);
-    /// Parts of another node's list that together with what is equal are all of it.
-    backend_changes take(backend_list& held, const backend_parts& parts);
-    /// Another node's changes since a list of the contents that are held; else nothing is done.
-    backend_changes take(backend_list& held, const backend_changes& changes);
-
-    /// What has changed since a list of contents that this node held itself; none when it did not,
-    /// or that is long ago. `digest`: of that list; 0: not told, any list of the revision will do.
-    std::optional<backend_changes> since(const backend_list& held, std::uint64_t revision,
-                                         std::uint64_t digest) const;
-    /// Names the contents, whatever their revision. Not 0.
-    std::uint64_t digest() const { return this->whole; }
+    // Each overload updates the list and returns the changes it made. All calls must pass the same
+    // list, which is empty at first. Older entries never replace newer ones, whatever the order of
+    // the calls.
+
+    /// Applies the whole list of another node.
+    backend_changes apply(backend_list& held, const backend_list& next);
+    backend_changes apply(backend_list& held, const backend_listing& listing);
+    backend_changes apply(backend_list& held, const backend_events& events);
+    /// Applies parts of the list of another node. Together with the parts that are equal they form
+    /// the whole list.
+    backend_changes apply(backend_list& held, const backend_parts& parts);
+    /// Applies the changes of another node if they are based on the contents held here; otherwise
+    /// does nothing.
+    backend_changes apply(backend_list& held, const backend_changes& changes);
+
+    /// Returns the changes since a list that this node held itself, or nothing if it never held
+    /// that list or no longer has the steps. `digest`: the digest of that list; 0: unknown, any
+    /// list of the revision matches.
+    std::optional<backend_changes> changes_since(const backend_list& held, std::uint64_t revision,
+                                                 std::uint64_t digest) const;
+    /// Identifies the contents, independent of the revision. Never 0.
+    std::uint64_t digest() const { return this->list_digest; }
     backend_digests digests(const backend_list& held) const;
-    /// The contents of the first of these parts, as many as make up to `most` back ends, and one
-    /// part at least.
+    /// Returns the contents of the first of the `wanted` parts: at least one part, and as many as
+    /// fit into `max_backends` back ends.
     backend_parts parts_of(const backend_list& held, std::span<const std::uint32_t> wanted,
-                           std::size_t most) const;
-    /// Parts of the list that differ from another's.
-    std::vector<std::uint32_t> differing(const backend_digests& others) const;
+                           std::size_t max_backends) const;
+    /// Returns the parts whose digests differ from those of another list.
+    std::vector<std::uint32_t> differing_parts(const backend_digests& others) const;
 
   private:
-    /// What brought the list from one state to the next.
+    /// The transition of the list from one state to the next.
     struct step {
         std::uint64_t before = 0;
         std::uint64_t digest = 0;
         std::uint64_t after = 0;
-        /// It names everything that changed between the two revisions, also what changed back.
+        /// `ids` names everything that changed between the two revisions, including entries that
+        /// changed back.
         bool is_exact = false;
         std::vector<std::string> ids;
     };
-    /// Collects the changes of one call, and notes them as a step at its end.
+    /// Collects the changes of one call and records them as a step at its end.
     class merge;
 
     void insert(backend_list& held, const backend& next);
     void erase(backend_list& held, const std::string& id);
-    void note(step made);
+    void record(step recorded);
 
     std::deque<step> steps;
-    /// Ids named in all steps.
-    std::size_t noted = 0;
-    std::uint64_t whole = digest_of_nothing;
-    std::array<std::uint64_t, digest_parts> digest_of_part{};
-    /// Ids by part; the texts are those of the list.
+    /// Number of ids named in all steps.
+    std::size_t recorded_ids = 0;
+    std::uint64_t list_digest = empty_list_digest;
+    std::array<std::uint64_t, digest_parts> part_digests{};
+    /// Ids by part. The views refer to the keys of the list.
     std::array<std::set<std::string_view>, digest_parts> members;
 };
 
--- a/src/pearbarrow/directory/directory_exchange.cc
+++ b/src/pearbarrow/directory/directory_exchange.cc
@@ -10,26 +10,27 @@
 namespace pearbarrow::directory {
 namespace {
 
-/// What a peer may take longer than its own hold before its silence counts as a failure.
-constexpr base::milliseconds answer_slack{1'000};
-/// Peers named in an answer; to a node that knows far fewer than the answering one, more.
-constexpr std::size_t peers_told = 4;
-constexpr std::size_t peers_told_to_new = 64;
-/// A node that knows fewer than this asks whomever it has. Small fleets have no more: there every
-/// node knows all.
-constexpr std::size_t few_peers = 16;
-constexpr base::milliseconds ask_back_timeout{1'000};
-/// Leaves the peers time to learn of a change by themselves.
-constexpr base::milliseconds ask_anew_delay{150};
-
-std::uint64_t lot_of(const net::endpoint& node) {
+/// Time that a peer may take beyond its hold time before the poll counts as failed.
+constexpr base::milliseconds reply_slack{1'000};
+/// Peers named in a reply. A node that knows far fewer peers than the replying one receives more of
+/// them.
+constexpr std::size_t peers_per_reply = 4;
+constexpr std::size_t peers_per_reply_to_new_node = 64;
+/// A node that knows fewer peers than this polls any of them. Small fleets never have more; there,
+/// every node knows all others.
+constexpr std::size_t min_known_peers = 16;
+constexpr base::milliseconds reverse_request_timeout{1'000};
+/// Gives the peers time to learn of a change on their own.
+constexpr base::milliseconds poll_repeat_delay{150};
+
+std::uint64_t address_hash(const net::endpoint& node) {
     return base::stable_hash(net::to_string(node));
 }
 
-/// Mixes a node's lot with the number of a draw (the finalizer of splitmix64): 2,000 of them take
-/// some microseconds.
-std::uint64_t drawn(std::uint64_t lot, std::uint64_t number) {
-    std::uint64_t mixed = lot + number * 0x9e37'79b9'7f4a'7c15;
+/// Combines the address hash of a node with the number of a selection (the finalizer of
+/// splitmix64). 2,000 of these take a few microseconds.
+std::uint64_t selection_rank(std::uint64_t hash, std::uint64_t number) {
+    std::uint64_t mixed = hash + number * 0x9e37'79b9'7f4a'7c15;
     mixed = (mixed ^ (mixed >> 30U)) * 0xbf58'476d'1ce4'e5b9;
     mixed = (mixed ^ (mixed >> 27U)) * 0x94d0'49bb'1331'11eb;
     return mixed ^ (mixed >> 31U);
@@ -46,26 +47,27 @@
       options_(std::move(options)),
       on_change_(std::move(on_change)),
       source_(rpc, options_.parts,
-              [this](const parts_question& question, std::size_t most) {
+              [this](const parts_request& request, std::size_t max_backends) {
                   const auto& held = state_.current().backends;
-                  return held.has_value() ? state_.index().parts_of(*held, question.parts, most)
-                                          : backend_parts();
+                  return held.has_value()
+                             ? state_.index().parts_of(*held, request.parts, max_backends)
+                             : backend_parts();
               }),
       fetch_(loop, rpc, random, {}) {
-    own_lot_ = lot_of(options_.self);
+    own_address_hash_ = address_hash(options_.self);
     for (const net::endpoint& seed : options_.seeds) {
         learn_seed(seed);
     }
     rpc_.register_method(wire::directory_watch, [this](std::string_view payload, auto responder) {
-        take_question(payload, std::move(responder));
+        handle_request(payload, std::move(responder));
     });
 }
 
 directory_exchange::~directory_exchange() = default;
 
 void directory_exchange::start() {
-    for (std::size_t index = 0; index < options_.watched_peers; ++index) {
-        ask(questions_.emplace_back());
+    for (std::size_t index = 0; index < options_.polled_peers; ++index) {
+        send_poll(polls_.emplace_back());
     }
 }
 
@@ -74,45 +76,45 @@
     if (!changed.any()) {
         return changed;
     }
-    answer_waiting();
+    reply_to_waiting();
     on_change_(changed);
-    ask_anew();
+    repeat_polls();
     return changed;
 }
 
-void directory_exchange::ask_anew() {
-    for (open_question& question : questions_) {
-        // One that is about to be put anew stays so: where changes never cease it would be put off
-        // for ever.
-        if (question.peer.port != 0 && question.retry == nullptr) {
-            question.retry = loop_.after(ask_anew_delay, [this, &question] { ask(question); });
+void directory_exchange::repeat_polls() {
+    for (open_poll& poll : polls_) {
+        // A poll whose repetition is already scheduled keeps its timer. Under constant changes it
+        // would otherwise be postponed forever.
+        if (poll.peer.port != 0 && poll.retry == nullptr) {
+            poll.retry = loop_.after(poll_repeat_delay, [this, &poll] { send_poll(poll); });
         }
     }
 }
 
-watch_question directory_exchange::own_question(bool is_first) const {
+watch_request directory_exchange::own_request(bool is_first_request) const {
     return {.known = state_.versions(),
-            .asker = options_.self,
+            .sender = options_.self,
             .peers = static_cast<std::uint32_t>(peers_.size()),
-            .takes_parts = true,
-            .is_first = is_first};
+            .accepts_parts = true,
+            .is_first_request = is_first_request};
 }
 
-void directory_exchange::ask_back(const watch_question& question) {
-    ask_back_ = rpc_.call(
-        base::node_id(), question.asker, wire::directory_watch, wire::encode(own_question(true)),
-        ask_back_timeout,
+void directory_exchange::send_reverse_request(const watch_request& request) {
+    reverse_call_ = rpc_.call(
+        base::node_id(), request.sender, wire::directory_watch, wire::encode(own_request(true)),
+        reverse_request_timeout,
         {.on_part = nullptr,
-         .on_done = [this, peer = question.asker](const absl::StatusOr<std::string>& payload) {
-             auto reply = payload.ok() ? wire::decode<watch_answer>(*payload)
-                                       : absl::StatusOr<watch_answer>(payload.status());
+         .on_done = [this, peer = request.sender](const absl::StatusOr<std::string>& payload) {
+             auto reply = payload.ok() ? wire::decode<watch_reply>(*payload)
+                                       : absl::StatusOr<watch_reply>(payload.status());
              if (reply.ok()) {
-                 take_update(peer, std::move(reply->update));
+                 apply_update(peer, std::move(reply->update));
              }
          }});
 }
 
-void directory_exchange::take_update(const net::endpoint& peer, directory_update update) {
+void directory_exchange::apply_update(const net::endpoint& peer, directory_update update) {
     const std::vector<backend_digests> digests = std::move(update.digests);
     publish(std::move(update));
     if (!digests.empty()) {
@@ -125,14 +127,15 @@
         return;
     }
     fetch_.start(
-        peer, digests.revision, state_.index().differing(digests),
+        peer, digests.revision, state_.index().differing_parts(digests),
         [this, peer, digests](std::optional<backend_parts> found) {
             if (!found.has_value()) {
-                leave(peer);
+                abandon_peer(peer);
                 return;
             }
-            // What was equal then must be so still: the peer's list is known by both.
-            const std::vector<std::uint32_t> differing = state_.index().differing(digests);
+            // Parts that were equal when the fetch started must still be equal, because the update
+            // treats them as known to both nodes.
+            const std::vector<std::uint32_t> differing = state_.index().differing_parts(digests);
             const std::set<std::uint32_t> fetched(found->parts.begin(), found->parts.end());
             if (!std::all_of(differing.begin(), differing.end(),
                              [&](std::uint32_t part) { return fetched.count(part) > 0; })) {
@@ -144,134 +147,134 @@
         });
 }
 
-void directory_exchange::take_question(std::string_view payload,
-                                       std::shared_ptr<net::peer_responder> responder) {
-    const auto question = wire::decode<watch_question>(payload);
-    if (!question.ok()) {
-        responder->fail(question.status());
+void directory_exchange::handle_request(std::string_view payload,
+                                        std::shared_ptr<net::peer_responder> responder) {
+    const auto request = wire::decode<watch_request>(payload);
+    if (!request.ok()) {
+        responder->fail(request.status());
         return;
     }
-    learn_peer(question->asker);
-    if (question->known.is_ahead_of(state_.versions())) {
-        ask_back(*question);
+    learn_peer(request->sender);
+    if (request->known.is_ahead_of(state_.versions())) {
+        send_reverse_request(*request);
     }
-    if (question->is_first || state_.is_news_to(question->known)) {
-        answer(responder, *question);
+    if (request->is_first_request || state_.has_changes_for(request->known)) {
+        send_reply(responder, *request);
         return;
     }
-    auto& waiting = waiting_.emplace_back();
-    const auto position = std::prev(waiting_.end());
-    waiting.question = *question;
+    auto& waiting = waiting_requests_.emplace_back();
+    const auto position = std::prev(waiting_requests_.end());
+    waiting.request = *request;
     waiting.responder = std::move(responder);
     waiting.limit = loop_.after(options_.hold, [this, position] {
-        answer(position->responder, position->question);
-        waiting_.erase(position);
+        send_reply(position->responder, position->request);
+        waiting_requests_.erase(position);
     });
 }
 
-std::size_t directory_exchange::peers_to_tell(const watch_question& question) const {
-    const bool is_new = std::size_t{question.peers} * 2 < peers_.size();
-    return std::min(is_new ? peers_told_to_new : peers_told, peers_.size());
+std::size_t directory_exchange::peers_in_reply(const watch_request& request) const {
+    const bool is_new_node = std::size_t{request.peers} * 2 < peers_.size();
+    return std::min(is_new_node ? peers_per_reply_to_new_node : peers_per_reply, peers_.size());
 }
 
-void directory_exchange::answer(const std::shared_ptr<net::peer_responder>& responder,
-                                const watch_question& question) {
-    watch_answer reply{.update = state_.update_for(question.receiver()),
-                       .peers = {},
-                       .is_reading = reader_ != nullptr && reader_->is_reading()};
-    reply.peers = some_peers(peers_to_tell(question));
+void directory_exchange::send_reply(const std::shared_ptr<net::peer_responder>& responder,
+                                    const watch_request& request) {
+    watch_reply reply{.update = state_.update_for(request.receiver()),
+                      .peers = {},
+                      .is_reading = reader_ != nullptr && reader_->is_reading()};
+    reply.peers = some_peers(peers_in_reply(request));
     responder->finish(wire::encode(reply));
 }
 
 std::vector<net::endpoint> directory_exchange::some_peers(std::size_t count) {
-    std::vector<net::endpoint> some;
+    std::vector<net::endpoint> selected;
     const std::size_t first = peers_.empty() ? 0 : random_.below(peers_.size());
-    for (std::size_t index = 0; index < peers_.size() && some.size() < count; ++index) {
+    for (std::size_t index = 0; index < peers_.size() && selected.size() < count; ++index) {
         const net::endpoint& peer = peers_[(first + index) % peers_.size()];
         if (unconfirmed_.count(peer) == 0) {
-            some.push_back(peer);
+            selected.push_back(peer);
         }
     }
-    return some;
+    return selected;
 }
 
-void directory_exchange::answer_waiting() {
-    for (auto at = waiting_.begin(); at != waiting_.end();) {
-        if (!state_.is_news_to(at->question.known)) {
+void directory_exchange::reply_to_waiting() {
+    for (auto at = waiting_requests_.begin(); at != waiting_requests_.end();) {
+        if (!state_.has_changes_for(at->request.known)) {
             ++at;
             continue;
         }
-        answer(at->responder, at->question);
-        at = waiting_.erase(at);
+        send_reply(at->responder, at->request);
+        at = waiting_requests_.erase(at);
     }
 }
 
-void directory_exchange::ask(open_question& question) {
-    question.retry.reset();
+void directory_exchange::send_poll(open_poll& poll) {
+    poll.retry.reset();
     if (fetch_.is_active()) {
-        question.retry = loop_.after(options_.fetch_pause, [this, &question] { ask(question); });
+        poll.retry = loop_.after(options_.delay_during_fetch, [this, &poll] { send_poll(poll); });
         return;
     }
-    if (question.peer.port == 0 || (question.is_first_contact && !has_few_peers())) {
-        question.is_first_contact = has_few_peers();
-        question.is_first = true;
-        question.peer =
-            random_peer([this](const net::endpoint& peer) { return !is_watched(peer); });
+    if (poll.peer.port == 0 || (poll.is_initial_peer && !has_few_peers())) {
+        poll.is_initial_peer = has_few_peers();
+        poll.is_first_request = true;
+        poll.peer = random_peer([this](const net::endpoint& peer) { return !is_polled(peer); });
     }
-    if (question.peer.port == 0) {
-        question.retry = loop_.after(options_.retry, [this, &question] { ask(question); });
+    if (poll.peer.port == 0) {
+        poll.retry = loop_.after(options_.retry, [this, &poll] { send_poll(poll); });
         return;
     }
-    question.call = rpc_.call(
-        base::node_id(), question.peer, wire::directory_watch,
-        wire::encode(own_question(question.is_first)), options_.hold + answer_slack,
-        {.on_part = nullptr, .on_done = [this, &question](absl::StatusOr<std::string> payload) {
-             take_answer(question, payload);
+    poll.call = rpc_.call(
+        base::node_id(), poll.peer, wire::directory_watch,
+        wire::encode(own_request(poll.is_first_request)), options_.hold + reply_slack,
+        {.on_part = nullptr, .on_done = [this, &poll](absl::StatusOr<std::string> payload) {
+             handle_reply(poll, payload);
          }});
 }
 
-void directory_exchange::take_answer(open_question& question,
-                                     const absl::StatusOr<std::string>& payload) {
-    auto reply = payload.ok() ? wire::decode<watch_answer>(*payload)
-                              : absl::StatusOr<watch_answer>(payload.status());
-    question.was_answered = reply.ok();
+void directory_exchange::handle_reply(open_poll& poll, const absl::StatusOr<std::string>& payload) {
+    auto reply = payload.ok() ? wire::decode<watch_reply>(*payload)
+                              : absl::StatusOr<watch_reply>(payload.status());
+    poll.last_call_succeeded = reply.ok();
     if (!reply.ok()) {
-        question.peer = {};
-        const base::milliseconds pause = was_ever_answered_ ? options_.retry : options_.first_retry;
-        question.retry = loop_.after(pause, [this, &question] { ask(question); });
+        poll.peer = {};
+        const base::milliseconds delay = had_any_reply_ ? options_.retry : options_.initial_retry;
+        poll.retry = loop_.after(delay, [this, &poll] { send_poll(poll); });
         return;
     }
-    was_ever_answered_ = true;
-    confirm_seed(question.peer);
-    question.is_first = false;
+    had_any_reply_ = true;
+    confirm_seed(poll.peer);
+    poll.is_first_request = false;
     for (const net::endpoint& peer : reply->peers) {
         learn_peer(peer);
     }
     if (reply->is_reading && reader_ != nullptr) {
-        reader_->note_reading_peer();
+        reader_->on_peer_reading();
     }
-    if (question.is_first_contact && !has_few_peers()) {
-        // Whoever starts knows these few, and they have the list for as many a second only: 45 of
-        // 55 nodes that had started together asked one, and lacked a part for four seconds. Any
-        // other peer has it too, and is asked next.
+    if (poll.is_initial_peer && !has_few_peers()) {
+        // All starting nodes know only these few peers, and each peer serves its list to a limited
+        // number of nodes per second: 45 of 55 nodes that had started together polled one peer and
+        // lacked a part for four seconds. The next poll goes to any other peer, which has the list
+        // too.
         reply->update.digests.clear();
     }
-    take_update(question.peer, std::move(reply->update));
-    // From the loop, so that the call that ended is not replaced inside its own callback.
-    question.retry = loop_.after(base::milliseconds{1}, [this, &question] { ask(question); });
+    apply_update(poll.peer, std::move(reply->update));
+    // The timer runs the next poll from the loop, so that the finished call is not replaced inside
+    // its own callback.
+    poll.retry = loop_.after(base::milliseconds{1}, [this, &poll] { send_poll(poll); });
 }
 
-void directory_exchange::leave(const net::endpoint& peer) {
-    for (open_question& question : questions_) {
-        // Not one whose answer is still to come.
-        if (question.peer == peer && question.retry != nullptr) {
-            question.peer = {};
+void directory_exchange::abandon_peer(const net::endpoint& peer) {
+    for (open_poll& poll : polls_) {
+        // A poll that still waits for its reply is kept.
+        if (poll.peer == peer && poll.retry != nullptr) {
+            poll.peer = {};
         }
     }
 }
 
 bool directory_exchange::has_few_peers() const {
-    return peers_.size() < few_peers;
+    return peers_.size() < min_known_peers;
 }
 
 void directory_exchange::learn_seed(const net::endpoint& seed) {
@@ -298,32 +301,32 @@
         net::endpoint& replaced = peers_[random_.below(peers_.size())];
         known_peers_.erase(replaced);
         unconfirmed_.erase(replaced);
-        lots_[static_cast<std::size_t>(&replaced - peers_.data())] = lot_of(peer);
+        address_hashes_[static_cast<std::size_t>(&replaced - peers_.data())] = address_hash(peer);
         replaced = peer;
         return;
     }
     peers_.push_back(peer);
-    lots_.push_back(lot_of(peer));
+    address_hashes_.push_back(address_hash(peer));
 }
 
-bool directory_exchange::is_drawn(std::uint64_t number) const {
-    const std::uint64_t own = drawn(own_lot_, number);
+bool directory_exchange::is_selected(std::uint64_t number) const {
+    const std::uint64_t own = selection_rank(own_address_hash_, number);
     std::size_t before = 0;
-    for (std::size_t index = 0; index < peers_.size() && before < drawn_at_once; ++index) {
+    for (std::size_t index = 0; index < peers_.size() && before < nodes_per_selection; ++index) {
         const bool counts = unconfirmed_.empty() || unconfirmed_.count(peers_[index]) == 0;
-        before += counts && drawn(lots_[index], number) < own ? 1 : 0;
+        before += counts && selection_rank(address_hashes_[index], number) < own ? 1 : 0;
     }
-    return before < drawn_at_once;
+    return before < nodes_per_selection;
 }
 
 bool directory_exchange::is_connected() const {
-    return std::any_of(questions_.begin(), questions_.end(),
-                       [](const open_question& question) { return question.was_answered; });
+    return std::any_of(polls_.begin(), polls_.end(),
+                       [](const open_poll& poll) { return poll.last_call_succeeded; });
 }
 
-bool directory_exchange::is_watched(const net::endpoint& peer) const {
-    return std::any_of(questions_.begin(), questions_.end(),
-                       [&](const open_question& question) { return question.peer == peer; });
+bool directory_exchange::is_polled(const net::endpoint& peer) const {
+    return std::any_of(polls_.begin(), polls_.end(),
+                       [&](const open_poll& poll) { return poll.peer == peer; });
 }
 
 net::endpoint directory_exchange::random_peer(
--- a/src/pearbarrow/directory/directory_exchange.h
+++ b/src/pearbarrow/directory/directory_exchange.h
@@ -1,12 +1,12 @@
-/// Nodes tell each other what is new in the directory.
+/// Distributes changes of the directory between nodes.
 ///
-/// Protocol: a node keeps one question open at each of a few peers ("I have these versions").
-/// The peer answers as soon as it knows something newer, or after a while with nothing; the node
-/// asks again. A question also shows what the asker knows: a peer that knows less asks back at
-/// once, and a node that has learned something puts its questions anew. Each answer names further
-/// peers, so the seeds of the settings are enough to begin. What a node learns here counts as much
-/// as what it reads from the outside service itself, so nodes which that service turns away stay
-/// current.
+/// Protocol: a node keeps one long poll open at each of a few peers, which states the versions it
+/// has. The peer replies as soon as it has something newer, or with an empty update after a
+/// timeout, and the node polls again. A poll also shows what its sender knows: a peer with older
+/// versions sends a request back at once, and a node that has learned of a change repeats its
+/// polls. Each reply names further peers, so the seeds in the settings are enough to start. Updates
+/// from peers are equivalent to those from the directory service itself, so nodes that the service
+/// rejects stay current.
 #pragma once
 
 #include <cstdint>
@@ -27,62 +27,64 @@
 
 namespace pearbarrow::directory {
 
-/// Nodes that are drawn for one number: one of them may be down, or unknown to most.
-inline constexpr std::size_t drawn_at_once = 2;
+/// Nodes selected for one number. There are two because one of them may be down, or unknown to
+/// most.
+inline constexpr std::size_t nodes_per_selection = 2;
 
-/// "What do you know that I don't?"
-struct watch_question {
+/// A long poll for everything that is newer than `known`.
+struct watch_request {
     directory_versions known;
-    /// Where the asking node takes such questions itself.
-    net::endpoint asker;
-    /// Peers that the asking node knows.
+    /// Address at which the sender accepts such requests itself.
+    net::endpoint sender;
+    /// Number of peers that the sender knows.
     std::uint32_t peers = 0;
-    /// The asking node fetches parts of the list of back ends (`directory/parts_fetch.h`). Builds
-    /// that don't are told the list whole, and their digests are made in another way.
-    bool takes_parts = false;
-    /// Nothing was asked of this peer before: the answer comes at once, with what there is.
-    bool is_first = false;
+    /// The sender can fetch parts of the list of back ends (`directory/parts_fetch.h`). Builds
+    /// without this receive the whole list, and they compute digests differently.
+    bool accepts_parts = false;
+    /// This is the first request to this peer. The peer replies at once with what it has.
+    bool is_first_request = false;
 
     update_receiver receiver() const {
-        return {.known = known, .tells_digest = takes_parts, .takes_parts = takes_parts};
+        return {.known = known, .sends_digest = accepts_parts, .accepts_parts = accepts_parts};
     }
-    MSGPACK_DEFINE(known, asker, peers, takes_parts, is_first);
+    MSGPACK_DEFINE(known, sender, peers, accepts_parts, is_first_request);
 };
 
-struct watch_answer {
+struct watch_reply {
     directory_update update;
-    /// Some peers that the answering node knows.
+    /// Some of the peers that the replying node knows.
     std::vector<net::endpoint> peers;
-    /// The answering node reads the outside service just now, and will tell of it.
+    /// The replying node is reading the directory service and will publish the result.
     bool is_reading = false;
 
     MSGPACK_DEFINE(update, peers, is_reading);
 };
 
-/// What the exchange asks of, and tells to, whoever reads the outside service on this node.
+/// The component of this node that reads the directory service, as seen by the exchange.
 class service_reader {
   public:
     virtual ~service_reader() = default;
     virtual bool is_reading() const = 0;
-    virtual void note_reading_peer() = 0;
+    virtual void on_peer_reading() = 0;
 };
 
 struct exchange_options {
     net::endpoint self;
     std::vector<net::endpoint> seeds;
-    /// Peers that a question is kept open at.
-    std::size_t watched_peers = 2;
-    /// Longest time that a question is held before it is answered with nothing.
+    /// Number of peers with an open poll.
+    std::size_t polled_peers = 2;
+    /// Longest time that a poll is held before an empty reply.
     base::milliseconds hold{8'000};
-    /// After a question that failed, before the next peer is asked.
+    /// Delay after a failed poll before the next peer is polled.
     base::milliseconds retry{300};
-    /// The same while no question was ever answered: at a common start the first contacts may begin
-    /// a little later, and who is not told waits or calls the outside service itself.
-    base::milliseconds first_retry{50};
-    /// While a list of back ends is fetched, before a question is put again.
-    base::milliseconds fetch_pause{50};
-    /// Enough to know every node of a fleet twice the largest planned, 100 bytes each: how long a
-    /// node leaves the outside service to the others follows from their number
+    /// The same delay until the first reply arrives. When all nodes start together, the first
+    /// contacts may start a little later, and a node without a reply waits or calls the directory
+    /// service itself.
+    base::milliseconds initial_retry{50};
+    /// Delay before a poll is repeated while a list of back ends is being fetched.
+    base::milliseconds delay_during_fetch{50};
+    /// Large enough to know every node of a fleet twice the largest planned size, at 100 bytes per
+    /// peer. The delay before a node calls the directory service depends on the number of peers
     /// (`directory/watch_pacing.h`).
     std::size_t max_known_peers = 4'096;
     parts_source::limits parts;
@@ -92,77 +94,78 @@
   public:
     using change_handler = std::function<void(const directory_state::changes&)>;
 
-    /// `on_change` runs after each change, whichever way it came.
+    /// `on_change` runs after each change, from any source.
     directory_exchange(net::event_loop& loop, net::peer_rpc& rpc, base::random_source& random,
                        exchange_options options, change_handler on_change);
     ~directory_exchange();
     directory_exchange(const directory_exchange&) = delete;
     directory_exchange& operator=(const directory_exchange&) = delete;
 
-    /// Begins to ask. Call once the links between nodes are open.
+    /// Starts polling. Call it once the links between nodes are open.
     void start();
-    /// Takes what the outside service told, and tells it to the peers that wait. Gives which parts
-    /// say something new.
+    /// Applies an update of the directory service and replies to the waiting peers. Returns the
+    /// parts that changed.
     directory_state::changes publish(directory_update update);
-    /// It outlives the exchange.
+    /// The reader must outlive the exchange.
     void set_reader(service_reader& reader) { reader_ = &reader; }
-    /// Another node that may be asked.
+    /// Adds a node that may be polled.
     void learn_peer(const net::endpoint& peer);
-    /// An address to begin with, which may be nobody's.
+    /// Adds an initial address, at which there may be no node.
     void learn_seed(const net::endpoint& seed);
     const directory_state& state() const { return state_; }
     std::size_t peer_count() const { return peers_.size(); }
-    /// Whether this node is among the `drawn_at_once` that are drawn of itself and its peers;
-    /// `number` names the draw. All that know the same nodes draw the same ones.
-    bool is_drawn(std::uint64_t number) const;
-    /// One of the peers that `is_fit` takes; port 0: there is none.
+    /// Whether this node is among the `nodes_per_selection` nodes selected from itself and its
+    /// peers; `number` identifies the selection. All nodes that know the same nodes select the same
+    /// ones.
+    bool is_selected(std::uint64_t number) const;
+    /// Returns a random peer for which `is_fit` holds; port 0 if there is none.
     net::endpoint random_peer(const std::function<bool(const net::endpoint&)>& is_fit);
-    /// Whether a peer has answered a question and has not failed one since.
+    /// Whether the last call of some open poll succeeded.
     bool is_connected() const;
 
   private:
-    /// A question that a peer keeps open here.
-    struct waiting_question {
-        watch_question question;
+    /// A poll that a peer keeps open here.
+    struct waiting_request {
+        watch_request request;
         std::shared_ptr<net::peer_responder> responder;
         std::unique_ptr<net::timer_handle> limit;
     };
-    /// A question that this node keeps open at a peer.
-    struct open_question {
+    /// A poll that this node keeps open at a peer.
+    struct open_poll {
         net::endpoint peer;
-        /// The peer was one of the few that this node knew at first. All nodes begin with the same
-        /// few: whoever stays with them makes them work for the whole fleet (a seed of 301 nodes
-        /// sent 6 MB/s, the middle node 0.14).
-        bool is_first_contact = false;
-        bool is_first = true;
-        bool was_answered = false;
+        /// The peer was one of the few that this node knew at first. All nodes start with the same
+        /// few peers, and if they kept polling these, those peers would work for the whole fleet (a
+        /// seed of 301 nodes sent 6 MB/s, the median node 0.14 MB/s).
+        bool is_initial_peer = false;
+        bool is_first_request = true;
+        bool last_call_succeeded = false;
         std::unique_ptr<net::peer_call_handle> call;
         std::unique_ptr<net::timer_handle> retry;
     };
 
-    /// An address has turned out to be a node's.
+    /// Records that there is a node at the address.
     void confirm_seed(const net::endpoint& seed);
     std::vector<net::endpoint> some_peers(std::size_t count);
-    void take_question(std::string_view payload, std::shared_ptr<net::peer_responder> responder);
-    void answer(const std::shared_ptr<net::peer_responder>& responder,
-                const watch_question& question);
-    std::size_t peers_to_tell(const watch_question& question) const;
-    void answer_waiting();
-    /// Asks whoever has just shown to know more than this node.
-    void ask_back(const watch_question& question);
-    /// Puts the open questions anew, so that peers see what this node knows now.
-    void ask_anew();
-    void ask(open_question& question);
-    void take_answer(open_question& question, const absl::StatusOr<std::string>& payload);
-    /// Applies what a peer has told, and asks it for what else its list holds.
-    void take_update(const net::endpoint& peer, directory_update update);
+    void handle_request(std::string_view payload, std::shared_ptr<net::peer_responder> responder);
+    void send_reply(const std::shared_ptr<net::peer_responder>& responder,
+                    const watch_request& request);
+    std::size_t peers_in_reply(const watch_request& request) const;
+    void reply_to_waiting();
+    /// Sends a request to the sender of a poll that has shown newer versions than this node has.
+    void send_reverse_request(const watch_request& request);
+    /// Repeats the open polls, so that the peers see the new versions of this node.
+    void repeat_polls();
+    void send_poll(open_poll& poll);
+    void handle_reply(open_poll& poll, const absl::StatusOr<std::string>& payload);
+    /// Applies the update of a peer and fetches the parts of its list that differ.
+    void apply_update(const net::endpoint& peer, directory_update update);
     void fetch_parts(const net::endpoint& peer, const backend_digests& digests);
-    /// Puts the questions that are open at the peer to others next.
-    void leave(const net::endpoint& peer);
-    /// The message that asks for what this node lacks.
-    watch_question own_question(bool is_first) const;
+    /// Moves the polls that are open at the peer to other peers.
+    void abandon_peer(const net::endpoint& peer);
+    /// Creates the poll for everything that this node lacks.
+    watch_request own_request(bool is_first_request) const;
     bool has_few_peers() const;
-    bool is_watched(const net::endpoint& peer) const;
+    bool is_polled(const net::endpoint& peer) const;
 
     net::event_loop& loop_;
     net::peer_rpc& rpc_;
@@ -172,17 +175,17 @@
     directory_state state_;
     std::vector<net::endpoint> peers_;
     std::set<net::endpoint> known_peers_;
-    /// Seeds that no node has shown to be one of them: they are asked, but neither named to others
-    /// nor drawn. Of twelve nodes with stale seeds four in ten looks at the outside service were
-    /// nobody's, and a change stayed unheard of for 2.7 s.
+    /// Seeds at which no node has been confirmed. They are polled, but neither named to other nodes
+    /// nor selected. When they took part in the selection, twelve nodes with stale seeds lost four
+    /// in ten polls of the directory service, and a change went unnoticed for 2.7 s.
     std::set<net::endpoint> unconfirmed_;
-    /// Lots of the peers, in the same order, and of this node.
-    std::vector<std::uint64_t> lots_;
-    std::uint64_t own_lot_ = 0;
-    std::list<waiting_question> waiting_;
-    std::list<open_question> questions_;
-    std::unique_ptr<net::peer_call_handle> ask_back_;
-    bool was_ever_answered_ = false;
+    /// Address hashes of the peers, in the order of `peers_`, and of this node.
+    std::vector<std::uint64_t> address_hashes_;
+    std::uint64_t own_address_hash_ = 0;
+    std::list<waiting_request> waiting_requests_;
+    std::list<open_poll> polls_;
+    std::unique_ptr<net::peer_call_handle> reverse_call_;
+    bool had_any_reply_ = false;
     parts_source source_;
     parts_fetch fetch_;
     service_reader* reader_ = nullptr;
--- a/src/pearbarrow/directory/directory_state.cc
+++ b/src/pearbarrow/directory/directory_state.cc
@@ -20,7 +20,8 @@
     return true;
 }
 
-/// The same; true only when `contents` differ from those held, or nothing was held.
+/// Same as `replace_if_newer`, but returns true only if `contents` differ from those held or
+/// nothing was held.
 template <typename Part, typename Contents>
 bool replace_if_changed(std::optional<Part>& held, std::vector<Part>& offered,
                         std::uint64_t Part::*version, Contents Part::*contents) {
@@ -37,13 +38,13 @@
     }
 }
 
-/// Up to so many back ends a list goes whole: it is hardly more than all digests.
-constexpr std::size_t most_sent_whole = 64;
+/// Lists of up to this many back ends are sent whole: they are hardly larger than all digests.
+constexpr std::size_t max_backends_sent_whole = 64;
 
 void append(backend_changes& all, backend_changes next) {
     all.revision = std::max(all.revision, next.revision);
-    for (backend& one : next.present) {
-        all.present.push_back(std::move(one));
+    for (backend& entry : next.present) {
+        all.present.push_back(std::move(entry));
     }
     for (std::string& id : next.gone) {
         all.gone.push_back(std::move(id));
@@ -60,9 +61,9 @@
 }
 
 bool directory_versions::is_ahead_of(const directory_versions& other) const {
-    const bool has_other_backends =
+    const bool has_newer_backends =
         backends > other.backends && backends_digest != other.backends_digest;
-    return config > other.config || has_other_backends || storage > other.storage ||
+    return config > other.config || has_newer_backends || storage > other.storage ||
            retirements > other.retirements || emptied_zones > other.emptied_zones;
 }
 
@@ -85,25 +86,25 @@
     backend_changes all;
     const bool has_list = !update.backends.empty() || update.reading || update.parts;
     if (!current_.backends.has_value() && !has_list) {
-        // Changes of a list that is not known say nothing.
+        // Changes cannot be applied to a list that is not known.
         return all;
     }
     backend_list& held =
         current_.backends.has_value() ? *current_.backends : current_.backends.emplace();
     for (const backend_list& next : update.backends) {
-        append(all, index_.take(held, next));
+        append(all, index_.apply(held, next));
     }
     if (update.reading) {
-        append(all, index_.take(held, *update.reading));
+        append(all, index_.apply(held, *update.reading));
     }
     if (update.events) {
-        append(all, index_.take(held, *update.events));
+        append(all, index_.apply(held, *update.events));
     }
     if (update.parts) {
-        append(all, index_.take(held, *update.parts));
+        append(all, index_.apply(held, *update.parts));
     }
     for (const backend_changes& next : update.backend_steps) {
-        append(all, index_.take(held, next));
+        append(all, index_.apply(held, next));
     }
     return all;
 }
@@ -117,14 +118,14 @@
             .emptied_zones = current_.emptied_zones ? current_.emptied_zones->revision : 0};
 }
 
-bool directory_state::has_other_backends(const directory_versions& known) const {
+bool directory_state::has_newer_backends(const directory_versions& known) const {
     return current_.backends.has_value() && current_.backends->revision > known.backends &&
            index_.digest() != known.backends_digest;
 }
 
-bool directory_state::is_news_to(const directory_versions& known) const {
+bool directory_state::has_changes_for(const directory_versions& known) const {
     const directory_versions own = versions();
-    return own.config > known.config || has_other_backends(known) || own.storage > known.storage ||
+    return own.config > known.config || has_newer_backends(known) || own.storage > known.storage ||
            own.retirements > known.retirements || own.emptied_zones > known.emptied_zones;
 }
 
@@ -136,13 +137,15 @@
     const directory_versions& known = receiver.known;
     directory_update update;
     add_if_newer(current_.config, &configuration::version, known.config, update.config);
-    if (has_other_backends(known)) {
-        const std::uint64_t digest = receiver.tells_digest ? known.backends_digest : 0;
-        auto steps = known.backends == 0 ? std::nullopt
-                                         : index_.since(*current_.backends, known.backends, digest);
+    if (has_newer_backends(known)) {
+        const std::uint64_t digest = receiver.sends_digest ? known.backends_digest : 0;
+        auto steps = known.backends == 0
+                         ? std::nullopt
+                         : index_.changes_since(*current_.backends, known.backends, digest);
         if (steps.has_value()) {
             update.backend_steps.push_back(*std::move(steps));
-        } else if (receiver.takes_parts && current_.backends->backends.size() > most_sent_whole) {
+        } else if (receiver.accepts_parts &&
+                   current_.backends->backends.size() > max_backends_sent_whole) {
             update.digests.push_back(index_.digests(*current_.backends));
         } else {
             update.backends.push_back(*current_.backends);
--- a/src/pearbarrow/directory/route_table.cc
+++ b/src/pearbarrow/directory/route_table.cc
@@ -6,7 +6,7 @@
 namespace pearbarrow::directory {
 namespace {
 
-std::string normal_host(std::string_view host) {
+std::string normalized_host(std::string_view host) {
     std::string name(host.substr(0, host.find(':')));
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
@@ -20,8 +20,8 @@
 }  // namespace
 
 route_table::route_table(const std::vector<route>& routes) {
-    for (const route& one : routes) {
-        by_host_[normal_host(one.host)].push_back(one);
+    for (const route& entry : routes) {
+        by_host_[normalized_host(entry.host)].push_back(entry);
     }
     for (auto& [host, list] : by_host_) {
         std::stable_sort(list.begin(), list.end(), [](const route& left, const route& right) {
@@ -31,7 +31,7 @@
 }
 
 const route* route_table::find(std::string_view host, std::string_view path) const {
-    const auto found = by_host_.find(normal_host(host));
+    const auto found = by_host_.find(normalized_host(host));
     if (found == by_host_.end()) {
         return nullptr;
     }
--- a/src/pearbarrow/directory/route_table.h
+++ b/src/pearbarrow/directory/route_table.h
@@ -15,12 +15,13 @@
     route_table() = default;
     explicit route_table(const std::vector<route>& routes);
 
-    /// The route for a `Host` value (its port and case do not count) and a path without a query;
-    /// null when there is none. Valid while the table lives.
+    /// Returns the route for the value of a `Host` header (ignoring port and case) and a path
+    /// without a query, or null if there is none. The pointer is valid for the lifetime of the
+    /// table.
     const route* find(std::string_view host, std::string_view path) const;
 
   private:
-    /// Routes of a host, longest prefix first.
+    /// Routes of each host, longest prefix first.
     std::unordered_map<std::string, std::vector<route>> by_host_;
 };
 
--- a/src/pearbarrow/directory/service_watch.h
+++ b/src/pearbarrow/directory/service_watch.h
@@ -1,12 +1,12 @@
-/// Decides when a node calls the outside directory service itself, beside all others that do.
+/// Decides when a node calls the directory service itself, given that other nodes do so too.
 ///
-/// A pure state machine: time, random numbers and what the node knows of its company are given. The
-/// calls of a fleet are bounded whatever its size: a few nodes keep a watch open, and in each
-/// interval of the time of day one node looks, which all draw alike without a message. A look is a
-/// watch that does not wait: it brings what is new, and a service that has moved on without telling
-/// anything has forgotten something, so that the whole is read. A node that the service turns away
-/// asks a peer to look in its place. What one node learns the others hear from it
-/// (`directory/directory_exchange.h`).
+/// A pure state machine: time, random numbers and the state of the node are inputs. The number of
+/// calls of a fleet is bounded independently of its size: a few nodes keep a watch open, and in
+/// each interval of the time of day the selected nodes poll the service. All nodes compute the same
+/// selection without messages. A poll is a watch that does not wait: it returns the changes. If the
+/// service has a newer revision but reports no changes, it has dropped some of its history, and the
+/// node reads everything. A node that the service rejects delegates its poll to a peer. Nodes
+/// distribute what they learn to each other (`directory/directory_exchange.h`).
 #pragma once
 
 #include <cstdint>
@@ -22,100 +22,102 @@
 
 struct service_watch_options {
     pacing_options pacing;
-    /// How long a node that has heard that a peer reads the service leaves it to that one.
+    /// How long a node waits for a peer that is reading the service.
     base::milliseconds wait_for_reader{1'500};
-    /// After a reading that failed: between this and ten times as much.
-    base::milliseconds least_retry{100};
-    /// A watch that tells of news sooner than this finds a service that changes all the time: looks
-    /// tell as much, so it is not put again. Without, all nodes came to watch (2,207 calls in 49 s
-    /// of 30 nodes, simulated with ten changes a second).
+    /// Delay after a failed read: between this and ten times as long.
+    base::milliseconds min_retry_delay{100};
+    /// A watch that returns changes sooner than this indicates that the service changes all the
+    /// time. Polls return the same changes, so the node does not watch again. Without this bound,
+    /// all nodes ended up watching (2,207 calls in 49 s by 30 nodes, simulated with ten changes per
+    /// second).
     base::milliseconds short_watch{1'000};
-    /// A look in place of another node's is passed on as often. With a third of the nodes turned
-    /// away, 1 look in 80 finds nobody.
-    std::uint32_t most_passes = 3;
+    /// Maximum number of times that one poll is delegated. With a third of the nodes rejected by
+    /// the service, 1 poll in 80 reaches no node that can perform it.
+    std::uint32_t max_hops = 3;
 };
 
 class service_watch {
   public:
-    enum class call { read, watch, look, pass_on };
-    /// Something to be done now.
+    enum class call { read, watch, poll, delegate };
+    /// An operation that the caller must perform now.
     struct action {
         call what = call::read;
-        /// Of a look, and of passing one on: how often it has been passed on.
-        std::uint32_t passes = 0;
+        /// For a poll and its delegation: how often the poll has been delegated.
+        std::uint32_t hops = 0;
     };
-    /// How a call ended.
+    /// The result of a call.
     enum class outcome {
-        /// It told of something that this node knew from nobody else.
-        news,
-        /// Only what peers had told before.
-        known,
-        /// Nothing has changed.
-        nothing,
-        /// The service has moved on and told nothing of it, or has dropped its history.
+        /// The call returned changes that no peer had sent.
+        new_changes,
+        /// The call returned only changes that peers had sent already.
+        known_changes,
+        /// There are no changes.
+        unchanged,
+        /// The service has a newer revision without reporting changes, or it has dropped its
+        /// history.
         missed,
         failed,
     };
-    /// What the node knows.
-    struct knowledge {
-        watch_company company;
-        /// Whether this node is the one to look in an interval. A node that knows few others is
-        /// drawn more often than it should be, never less.
-        std::function<bool(std::uint64_t interval)> is_drawn;
-        /// Everything as of some revision of the service, from whomever.
-        bool is_level = false;
+    /// The state of the node.
+    struct node_state {
+        peer_connectivity connectivity;
+        /// Whether this node polls in the given interval. A node that knows few others is selected
+        /// more often than necessary, never less often.
+        std::function<bool(std::uint64_t interval)> is_selected;
+        /// The node has all parts as of some revision of the service, from any source.
+        bool has_all_parts = false;
         /// Unix time, in microseconds.
         std::int64_t unix_time = 0;
     };
 
     service_watch(base::random_source& random, service_watch_options options);
 
-    /// The node has started. `is_contact`: others ask it first, so it reads first.
+    /// Starts the state machine. `is_contact`: other nodes poll this one first, so it reads first.
     void begin(base::instant now, bool is_contact);
-    /// A peer says that it is reading the service.
-    void note_reader(base::instant now);
+    /// Records that a peer is reading the service.
+    void on_peer_reading(base::instant now);
     /// Whether this node is reading, or is about to.
     bool is_reading() const {
         return this->state == stage::reading ||
                (this->is_contact && this->state == stage::starting);
     }
 
-    // Each gives what is to be done next.
-    std::vector<action> advance(const knowledge& known, base::instant now);
-    std::vector<action> ended(call what, outcome how, std::uint32_t passes, const knowledge& known,
-                              base::instant now);
-    /// A look has no answer yet: somebody else may be quicker.
-    std::vector<action> look_is_slow(std::uint32_t passes, const knowledge& known) const;
-    /// A peer that the service turns away asks this node to look.
-    std::vector<action> asked(std::uint32_t passes) const;
+    // Each of these returns the actions to perform next.
+    std::vector<action> advance(const node_state& known, base::instant now);
+    std::vector<action> on_call_ended(call what, outcome how, std::uint32_t hops,
+                                      const node_state& known, base::instant now);
+    /// Handles a poll without a response so far: another node may be faster.
+    std::vector<action> on_slow_poll(std::uint32_t hops, const node_state& known) const;
+    /// Handles the request of a peer that the service rejects: this node polls for it.
+    std::vector<action> on_poll_request(std::uint32_t hops) const;
 
-    /// When `advance` is due.
+    /// Returns when `advance` must be called next.
     base::instant next() const;
 
   private:
     enum class stage {
-        /// Waits whether peers tell everything.
+        /// Waits for peers to send everything.
         starting,
         reading,
         watching,
-        /// Watches again at `due`.
-        pausing,
-        /// Leaves it to the others.
-        resting,
+        /// Starts a watch at `due`.
+        delayed,
+        /// Relies on the other nodes.
+        idle,
     };
 
-    bool is_turn(const knowledge& known);
-    void rest(const knowledge& known, base::instant now);
-    void pause(base::milliseconds time, stage next, base::instant now);
-    base::milliseconds retry_time();
+    bool is_poll_due(const node_state& known);
+    void become_idle(const node_state& known, base::instant now);
+    void delay_for(base::milliseconds delay, stage next, base::instant now);
+    base::milliseconds retry_delay();
     std::vector<action> read();
     std::vector<action> watch(base::instant now);
-    void take_news(const knowledge& known, base::instant now);
-    std::vector<action> take_reading(outcome how, const knowledge& known, base::instant now);
-    std::vector<action> take_watch(outcome how, const knowledge& known, base::instant now);
-    std::vector<action> take_look(outcome how, std::uint32_t passes, const knowledge& known,
-                                  base::instant now);
-    std::vector<action> pass_on(std::uint32_t passes, const knowledge& known) const;
+    void on_new_changes(const node_state& known, base::instant now);
+    std::vector<action> on_read_ended(outcome how, const node_state& known, base::instant now);
+    std::vector<action> on_watch_ended(outcome how, const node_state& known, base::instant now);
+    std::vector<action> on_poll_ended(outcome how, std::uint32_t hops, const node_state& known,
+                                      base::instant now);
+    std::vector<action> delegate(std::uint32_t hops, const node_state& known) const;
 
     base::random_source& random;
     service_watch_options options;
@@ -123,11 +125,11 @@
     stage state = stage::starting;
     bool is_contact = false;
     base::instant due{};
-    base::instant watch_began{};
-    /// When the next interval begins, and the last one that was judged.
-    base::instant turn{};
-    std::uint64_t judged = 0;
-    std::optional<base::instant> reader_until;
+    base::instant watch_started_at{};
+    /// Start of the next interval, and number of the last interval that was checked.
+    base::instant next_interval{};
+    std::uint64_t last_interval = 0;
+    std::optional<base::instant> wait_for_reader_until;
 };
 
 }  // namespace pearbarrow::directory
--- a/src/pearbarrow/directory/watch_pacing.h
+++ b/src/pearbarrow/directory/watch_pacing.h
@@ -1,4 +1,4 @@
-/// How long a node leaves the outside service to the others.
+/// Delays between the calls of a node to the directory service.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +10,29 @@
 namespace pearbarrow::directory {
 
 struct pacing_options {
-    /// Between two looks by all nodes together, where watches tell nothing. A quarter of the time
-    /// in which a change is to be in force, so that two nodes in turn may fail. Times of day are
-    /// counted in it: each interval has a number.
+    /// Interval between two polls by all nodes together, which cover for watches that report
+    /// nothing. It is a quarter of the time within which a change must take effect, so that the
+    /// selected nodes of two successive intervals may fail. The time of day is divided into
+    /// numbered intervals of this length.
     base::milliseconds check_interval{600};
-    /// Most time between a watch that told something new and the next one, for each other node.
-    base::milliseconds pause_after_news{100};
-    base::milliseconds most_pause_after_news{1'200};
-    /// At its start a node waits so long whether its peers tell it everything, or that they read:
-    /// processes of a common start begin up to 0.3 s apart. Not longer, since after a loss of power
-    /// nothing is served until somebody knows the routes.
-    base::milliseconds least_start_pause{350};
-    base::milliseconds most_start_pause{600};
-    /// The same for a node that all others ask first.
-    base::milliseconds contact_start_pause{20};
+    /// Maximum delay, per other node, between a watch that returned changes and the next watch.
+    base::milliseconds delay_after_changes{100};
+    base::milliseconds max_delay_after_changes{1'200};
+    /// Bounds of the time that a starting node waits for its peers to send everything or to
+    /// announce that they are reading. The processes of a common start begin up to 0.3 s apart. The
+    /// delay is not longer because after a power failure no request is served until some node knows
+    /// the routes.
+    base::milliseconds min_start_delay{350};
+    base::milliseconds max_start_delay{600};
+    /// The same delay for a node that all others poll first.
+    base::milliseconds contact_start_delay{20};
 };
 
-/// What a node knows of the others that look at the same service.
-struct watch_company {
-    /// Other nodes that this one has heard of.
+/// The peers that use the same directory service, as known to this node.
+struct peer_connectivity {
+    /// Number of other nodes that this node knows.
     std::size_t peers = 0;
-    /// Whether peers answer this node.
+    /// Whether peers reply to this node.
     bool connected = false;
 };
 
@@ -38,17 +40,17 @@
   public:
     watch_pacing(base::random_source& random, pacing_options options);
 
-    /// How long until the next interval begins. `unix_time` in microseconds.
-    base::milliseconds until_next(std::int64_t unix_time) const;
-    /// The number of the present interval.
+    /// Returns the time until the next interval. `unix_time` in microseconds.
+    base::milliseconds until_next_interval(std::int64_t unix_time) const;
+    /// Returns the number of the current interval.
     std::uint64_t interval_at(std::int64_t unix_time) const;
-    /// How long to gather changes after a watch that has told of something new.
-    base::milliseconds pause_after_news(const watch_company& company);
-    /// How long a node that has just started leaves it to its peers to tell it what there is.
-    base::milliseconds start_pause();
+    /// Returns how long to collect changes after a watch that returned changes.
+    base::milliseconds delay_after_changes(const peer_connectivity& connectivity);
+    /// Returns how long a starting node waits for its peers to send the directory.
+    base::milliseconds start_delay();
 
   private:
-    base::milliseconds up_to(base::milliseconds most);
+    base::milliseconds random_below(base::milliseconds max);
 
     base::random_source& random;
     pacing_options options;
--- a/tests/unit/directory/backend_index_test.cc
+++ b/tests/unit/directory/backend_index_test.cc
@@ -38,62 +38,62 @@
     return update;
 }
 
-/// Tells `receiver` what it lacks; gives the bytes that this took.
-std::size_t tell(const directory_state& teller, directory_state& receiver) {
-    const std::string bytes = wire::encode(teller.newer_than(receiver.versions()));
+/// Sends `receiver` what it lacks. Returns the size of the message in bytes.
+std::size_t send_update(const directory_state& sender, directory_state& receiver) {
+    const std::string bytes = wire::encode(sender.newer_than(receiver.versions()));
     receiver.apply(*wire::decode<directory_update>(bytes));
     return bytes.size();
 }
 
 }  // namespace
 
-Test(backend_index, one_that_is_a_little_behind_is_told_only_the_changes) {
+Test(backend_index, slightly_outdated_receiver_gets_only_changes) {
     std::vector<std::string> ids;
     for (int index = 0; index < 150; ++index) {
         ids.push_back("backend-" + std::to_string(index));
     }
-    directory_state teller;
+    directory_state sender;
     directory_state receiver;
-    teller.apply(update_of(list_of(10, ids)));
-    const std::size_t whole = tell(teller, receiver);
+    sender.apply(update_of(list_of(10, ids)));
+    const std::size_t whole = send_update(sender, receiver);
     ids.back() = "backend-new";
-    teller.apply(update_of(list_of(12, ids)));
-    const std::size_t step = tell(teller, receiver);
-    cr_assert(receiver.current().backends->backends == teller.current().backends->backends);
-    cr_assert(receiver.versions() == teller.versions());
+    sender.apply(update_of(list_of(12, ids)));
+    const std::size_t step = send_update(sender, receiver);
+    cr_assert(receiver.current().backends->backends == sender.current().backends->backends);
+    cr_assert(receiver.versions() == sender.versions());
     cr_assert(step * 20 < whole, "%zu bytes of %zu", step, whole);
 }
 
-Test(backend_index, a_list_that_this_node_never_held_is_answered_with_all) {
-    directory_state teller;
-    teller.apply(update_of(list_of(10, {"1", "2"})));
-    teller.apply(update_of(list_of(14, {"1"})));
-    // Held at a revision in between, with a back end that came and went meanwhile.
+Test(backend_index, unknown_list_version_gets_whole_list) {
+    directory_state sender;
+    sender.apply(update_of(list_of(10, {"1", "2"})));
+    sender.apply(update_of(list_of(14, {"1"})));
+    // A list at a revision in between, with a back end that was added and removed meanwhile.
     directory_state receiver;
     receiver.apply(update_of(list_of(12, {"1", "2", "3"})));
-    tell(teller, receiver);
+    send_update(sender, receiver);
     cr_assert(receiver.current().backends->backends.size() == 1);
 }
 
-// A list read in several parts has some entries that are newer than its revision.
-Test(backend_index, one_revision_with_two_contents_is_answered_with_all) {
-    directory_state teller;
-    teller.apply(update_of(list_of(10, {"1", "2", "3"})));
-    teller.apply(update_of(list_of(14, {"1", "2", "3", "4"})));
+// A list that is read in several pages has some entries that are newer than its revision.
+Test(backend_index, same_revision_with_other_contents_gets_whole_list) {
+    directory_state sender;
+    sender.apply(update_of(list_of(10, {"1", "2", "3"})));
+    sender.apply(update_of(list_of(14, {"1", "2", "3", "4"})));
     directory_state receiver;
     receiver.apply(update_of(list_of(10, {"1", "2"})));
-    tell(teller, receiver);
+    send_update(sender, receiver);
     cr_assert(receiver.current().backends->backends.size() == 4);
 }
 
-Test(backend_index, changes_that_do_not_follow_the_list_do_nothing) {
+Test(backend_index, changes_based_on_another_list_are_ignored) {
     directory_state state;
     state.apply(update_of(list_of(10, {"1"})));
     directory_update update;
     update.backend_steps.push_back({.after = 9, .revision = 12, .present = {}, .gone = {"1"}});
     cr_assert(!state.apply(update).any());
     cr_assert(state.current().backends->backends.size() == 1 && state.versions().backends == 10);
-    // The same revision, but not the same contents.
+    // The same revision with other contents.
     update.backend_steps.front() = {
         .after = 10, .revision = 12, .present = {}, .gone = {"1"}, .digest_before = 7};
     cr_assert(!state.apply(update).any());
@@ -102,18 +102,18 @@
     cr_assert(state.current().backends->backends.empty() && state.versions().backends == 12);
 }
 
-Test(backend_index, the_same_back_ends_at_a_newer_revision_are_no_change) {
+Test(backend_index, same_back_ends_at_newer_revision_are_no_change) {
     directory_state state;
     cr_assert(state.apply(update_of(list_of(10, {"1"}))).backends);
     const auto again = state.apply(update_of(list_of(11, {"1"})));
     cr_assert(!again.any());
-    cr_assert(state.versions().backends == 11, "who knows an older revision must not undo it");
+    cr_assert(state.versions().backends == 11, "an older revision must not undo it");
     cr_assert(!state.apply(update_of(list_of(10, {"1", "2"}))).any());
     cr_assert(state.current().backends->backends.size() == 1);
 }
 
-// Many nodes that tell each other in any order, each reading the outside service now and then.
-Test(backend_index, nodes_that_tell_each_other_agree_with_the_service) {
+// Many nodes exchange updates in any order, and each reads the directory service occasionally.
+Test(backend_index, nodes_converge_to_list_of_service) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         base::random_source random(seed);
         backend_list service = list_of(1, {"0", "1", "2"});
@@ -130,11 +130,11 @@
             if (random.below(4) == 0) {
                 nodes[random.below(nodes.size())].apply(update_of(service));
             }
-            const std::uint64_t teller = random.below(nodes.size());
+            const std::uint64_t sender = random.below(nodes.size());
             const std::uint64_t receiver = random.below(nodes.size());
             const auto before = nodes[receiver].versions().backends;
-            if (teller != receiver) {
-                tell(nodes[teller], nodes[receiver]);
+            if (sender != receiver) {
+                send_update(nodes[sender], nodes[receiver]);
             }
             cr_assert(nodes[receiver].versions().backends >= before, "seed %lu", seed);
             if (nodes[receiver].versions().backends == service.revision) {
@@ -147,15 +147,15 @@
 
 namespace {
 
-backend written(const std::string& id, std::uint64_t revision) {
-    backend one = backend_of(id);
-    one.written_at = revision;
-    return one;
+backend backend_written_at(const std::string& id, std::uint64_t revision) {
+    backend entry = backend_of(id);
+    entry.written_at = revision;
+    return entry;
 }
 
-/// An outside service: what it lists, and what has happened after each revision.
-struct listed_service {
-    explicit listed_service(std::size_t size) {
+/// A directory service: its current list and its history.
+struct simulated_service {
+    explicit simulated_service(std::size_t size) {
         for (std::size_t index = 0; index < size; ++index) {
             this->put("b" + std::to_string(index));
         }
@@ -163,15 +163,15 @@
 
     void put(const std::string& id) {
         ++this->list.revision;
-        this->list.backends[id] = written(id, this->list.revision);
-        this->ends.erase(id);
+        this->list.backends[id] = backend_written_at(id, this->list.revision);
+        this->removed_at.erase(id);
     }
     void remove(const std::string& id) {
         ++this->list.revision;
         this->list.backends.erase(id);
-        this->ends[id] = this->list.revision;
+        this->removed_at[id] = this->list.revision;
     }
-    /// One of `ids` changes: comes, goes, or is written anew.
+    /// Adds, removes or rewrites one of `ids` back ends.
     void change(base::random_source& random, std::size_t ids) {
         const std::string id = "b" + std::to_string(random.below(ids));
         if (this->list.backends.count(id) > 0 && random.below(2) == 0) {
@@ -184,12 +184,12 @@
         directory_update update;
         update.events = backend_events{
             .after = after, .revision = this->list.revision, .present = {}, .gone = {}};
-        for (const auto& [id, one] : this->list.backends) {
-            if (one.written_at > after) {
-                update.events->present.push_back(one);
+        for (const auto& [id, entry] : this->list.backends) {
+            if (entry.written_at > after) {
+                update.events->present.push_back(entry);
             }
         }
-        for (const auto& [id, revision] : this->ends) {
+        for (const auto& [id, revision] : this->removed_at) {
             if (revision > after) {
                 update.events->gone.push_back({.id = id, .revision = revision});
             }
@@ -200,34 +200,35 @@
         directory_update update;
         update.reading.emplace();
         update.reading->revision = this->list.revision;
-        for (const auto& [id, one] : this->list.backends) {
+        for (const auto& [id, entry] : this->list.backends) {
             update.reading->ids.insert(id);
-            update.reading->changed.push_back(one);
+            update.reading->changed.push_back(entry);
         }
         return update;
     }
 
     backend_list list;
-    std::map<std::string, std::uint64_t> ends;
+    std::map<std::string, std::uint64_t> removed_at;
 };
 
-/// What `teller` tells a receiver that fetches parts, which then has all that the teller has; gives
-/// the back ends that were sent.
-std::size_t meet(const directory_state& teller, directory_state& receiver) {
-    directory_update told = teller.update_for({.known = receiver.versions(), .takes_parts = true});
+/// Sends an update and then the requested parts to a receiver that accepts parts, which then has
+/// everything that the sender has. Returns the number of back ends sent.
+std::size_t synchronize(const directory_state& sender, directory_state& receiver) {
+    directory_update update =
+        sender.update_for({.known = receiver.versions(), .accepts_parts = true});
     std::size_t sent = 0;
-    for (const backend_changes& step : told.backend_steps) {
+    for (const backend_changes& step : update.backend_steps) {
         sent += step.present.size();
     }
-    for (const backend_list& list : told.backends) {
+    for (const backend_list& list : update.backends) {
         sent += list.backends.size();
     }
-    const std::vector<backend_digests> digests = told.digests;
-    receiver.apply(std::move(told));
+    const std::vector<backend_digests> digests = update.digests;
+    receiver.apply(std::move(update));
     if (!digests.empty()) {
-        const auto differing = receiver.index().differing(digests.front());
+        const auto differing = receiver.index().differing_parts(digests.front());
         directory_update parts;
-        parts.parts = teller.index().parts_of(*teller.current().backends, differing, SIZE_MAX);
+        parts.parts = sender.index().parts_of(*sender.current().backends, differing, SIZE_MAX);
         sent += parts.parts->present.size();
         receiver.apply(std::move(parts));
     }
@@ -236,8 +237,8 @@
 
 }  // namespace
 
-Test(backend_index, two_nodes_with_different_histories_are_level_after_a_few_parts) {
-    listed_service service(2'000);
+Test(backend_index, nodes_with_different_histories_converge_by_few_parts) {
+    simulated_service service(2'000);
     directory_state left;
     directory_state right;
     left.apply(service.reading());
@@ -250,27 +251,27 @@
         (change % 2 == 0 ? left : right).apply(service.events_after(after - (change > 0 ? 1 : 0)));
     }
     left.apply(service.reading());
-    const std::size_t sent = meet(left, right);
+    const std::size_t sent = synchronize(left, right);
     cr_assert(right.current().backends->backends == service.list.backends);
     cr_assert(right.versions() == left.versions());
     cr_assert(sent <= 100, "%zu of 2,000 back ends were sent", sent);
 }
 
-Test(backend_index, a_node_without_a_list_is_told_all_of_it_in_pieces) {
-    listed_service service(1'000);
-    directory_state teller;
-    teller.apply(service.reading());
-    const backend_digests digests = teller.index().digests(*teller.current().backends);
+Test(backend_index, node_without_list_receives_it_in_pieces) {
+    simulated_service service(1'000);
+    directory_state sender;
+    sender.apply(service.reading());
+    const backend_digests digests = sender.index().digests(*sender.current().backends);
     directory_state receiver;
-    std::vector<std::uint32_t> lacking = receiver.index().differing(digests);
+    std::vector<std::uint32_t> missing_parts = receiver.index().differing_parts(digests);
     backend_parts all{.revision = digests.revision, .parts = {}, .present = {}};
     int pieces = 0;
-    while (!lacking.empty()) {
+    while (!missing_parts.empty()) {
         const backend_parts piece =
-            teller.index().parts_of(*teller.current().backends, lacking, 100);
+            sender.index().parts_of(*sender.current().backends, missing_parts, 100);
         cr_assert(piece.present.size() <= 100);
         for (const std::uint32_t part : piece.parts) {
-            std::erase(lacking, part);
+            std::erase(missing_parts, part);
             all.parts.push_back(part);
         }
         all.present.insert(all.present.end(), piece.present.begin(), piece.present.end());
@@ -280,39 +281,40 @@
     directory_update update;
     update.parts = all;
     cr_assert(receiver.apply(update).backends);
-    cr_assert(receiver.versions() == teller.versions());
+    cr_assert(receiver.versions() == sender.versions());
     cr_assert(receiver.current().backends->backends == service.list.backends);
 }
 
-// Nodes that follow the service by events, by readings, or only by each other; what is told comes
-// twice, late or never. None goes back, and each that claims the newest revision holds its list.
-Test(backend_index, stepped_lists_agree_with_whole_ones_whatever_is_lost_or_doubled) {
+// Nodes receive events, full reads or only updates of each other, and messages arrive twice, late
+// or never. No revision decreases, and each node at the newest revision has the list of the
+// service.
+Test(backend_index, lists_converge_with_lost_and_duplicate_updates) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         base::random_source random(seed);
-        listed_service service(90);
+        simulated_service service(90);
         std::vector<directory_state> nodes(6);
-        std::vector<directory_update> late;
+        std::vector<directory_update> delayed_updates;
         nodes[0].apply(service.reading());
         for (int round = 0; round < 300; ++round) {
             service.change(random, 120);
-            directory_state& one = nodes[random.below(nodes.size())];
-            const std::uint64_t before = one.versions().backends;
-            const std::uint64_t what = random.below(8);
-            if (what == 0) {
-                one.apply(service.reading());
-            } else if (what <= 2 && before > 0) {
-                one.apply(service.events_after(before));
-            } else if (what == 3 && before > 0) {
-                late.push_back(service.events_after(before));
-            } else if (what == 4 && !late.empty()) {
-                one.apply(late[random.below(late.size())]);
+            directory_state& receiver = nodes[random.below(nodes.size())];
+            const std::uint64_t before = receiver.versions().backends;
+            const std::uint64_t action = random.below(8);
+            if (action == 0) {
+                receiver.apply(service.reading());
+            } else if (action <= 2 && before > 0) {
+                receiver.apply(service.events_after(before));
+            } else if (action == 3 && before > 0) {
+                delayed_updates.push_back(service.events_after(before));
+            } else if (action == 4 && !delayed_updates.empty()) {
+                receiver.apply(delayed_updates[random.below(delayed_updates.size())]);
             } else {
                 const directory_state& other = nodes[random.below(nodes.size())];
-                if (&other != &one && other.versions().is_ahead_of(one.versions())) {
-                    meet(other, one);
+                if (&other != &receiver && other.versions().is_ahead_of(receiver.versions())) {
+                    synchronize(other, receiver);
                 }
             }
-            cr_assert(one.versions().backends >= before, "seed %lu", seed);
+            cr_assert(receiver.versions().backends >= before, "seed %lu", seed);
             for (const directory_state& node : nodes) {
                 cr_assert(node.versions().backends != service.list.revision ||
                               node.current().backends->backends == service.list.backends,
@@ -322,10 +324,10 @@
     }
 }
 
-// What a step costs is what has changed, at two sizes of the list.
-Test(backend_index, a_step_costs_what_has_changed) {
+// Guards against a cost of updates that grows with the size of the list.
+Test(backend_index, cost_of_step_is_independent_of_list_size) {
     const auto time_of_steps = [](std::size_t size) {
-        listed_service service(size);
+        simulated_service service(size);
         directory_state state;
         state.apply(service.reading());
         auto shortest = std::chrono::nanoseconds::max();
@@ -340,9 +342,9 @@
                     .revision = service.list.revision,
                     .present = {service.list.backends.at("b" + std::to_string(step * 7 % size))},
                     .gone = {}};
-                const auto began = std::chrono::steady_clock::now();
+                const auto started_at = std::chrono::steady_clock::now();
                 state.apply(std::move(update));
-                spent += std::chrono::steady_clock::now() - began;
+                spent += std::chrono::steady_clock::now() - started_at;
             }
             shortest = std::min(shortest, spent);
         }
--- a/tests/unit/directory/directory_exchange_test.cc
+++ b/tests/unit/directory/directory_exchange_test.cc
@@ -18,10 +18,10 @@
     return update;
 }
 
-/// A node that only takes part in the exchange.
+/// A node that only runs the exchange.
 struct exchange_node {
     exchange_node(net::event_loop& loop, const std::string& name, std::vector<net::endpoint> seeds,
-                  std::size_t watched, parts_source::limits parts = {})
+                  std::size_t polled_peers, parts_source::limits parts = {})
         : rpc(net::make_peer_rpc(
               loop,
               {.self = base::node_id(name), .cluster = "test", .listen = net::testing::loopback})) {
@@ -29,7 +29,7 @@
         exchange_options options;
         options.self = rpc->local_endpoint();
         options.seeds = std::move(seeds);
-        options.watched_peers = watched;
+        options.polled_peers = polled_peers;
         options.parts = parts;
         exchange = std::make_unique<directory_exchange>(
             loop, *rpc, random, options,
@@ -51,53 +51,53 @@
 
 }  // namespace
 
-Test(directory_exchange, a_node_learns_from_the_peer_that_it_asks) {
+Test(directory_exchange, node_receives_updates_of_polled_peer) {
     net::event_loop loop;
     exchange_node source(loop, "source", {}, 0);
-    exchange_node asker(loop, "asker", {source.rpc->local_endpoint()}, 1);
+    exchange_node requester(loop, "asker", {source.rpc->local_endpoint()}, 1);
     source.exchange->publish(config_update(3));
-    cr_assert(run_until(loop, [&] { return asker.version() == 3; }));
+    cr_assert(run_until(loop, [&] { return requester.version() == 3; }));
     source.exchange->publish(config_update(5));
-    cr_assert(run_until(loop, [&] { return asker.version() == 5; }));
-    cr_assert(asker.changes == 2);
+    cr_assert(run_until(loop, [&] { return requester.version() == 5; }));
+    cr_assert(requester.changes == 2);
 }
 
-Test(directory_exchange, a_node_that_asks_nobody_learns_from_one_that_asks_it) {
+Test(directory_exchange, node_without_polls_receives_updates_of_polling_peer) {
     net::event_loop loop;
     exchange_node target(loop, "target", {}, 0);
-    exchange_node asker(loop, "asker", {target.rpc->local_endpoint()}, 1);
+    exchange_node requester(loop, "asker", {target.rpc->local_endpoint()}, 1);
     cr_assert(run_until(loop, [&] { return target.exchange->peer_count() == 1; }));
-    asker.exchange->publish(config_update(4));
+    requester.exchange->publish(config_update(4));
     cr_assert(run_until(loop, [&] { return target.version() == 4; }));
 }
 
-Test(directory_exchange, an_older_part_never_replaces_a_newer_one) {
+Test(directory_exchange, older_part_does_not_replace_newer_one) {
     net::event_loop loop;
     exchange_node source(loop, "source", {}, 0);
-    exchange_node asker(loop, "asker", {source.rpc->local_endpoint()}, 1);
-    asker.exchange->publish(config_update(9));
+    exchange_node requester(loop, "asker", {source.rpc->local_endpoint()}, 1);
+    requester.exchange->publish(config_update(9));
     source.exchange->publish(config_update(3));
     cr_assert(run_until(loop, [&] { return source.version() == 9; }));
-    cr_assert(asker.version() == 9);
+    cr_assert(requester.version() == 9);
 }
 
-Test(directory_exchange, a_node_that_knows_few_peers_is_told_of_many) {
+Test(directory_exchange, node_with_few_peers_receives_many) {
     net::event_loop loop;
     exchange_node source(loop, "source", {}, 0);
     for (std::uint16_t port = 1; port <= 60; ++port) {
         source.exchange->learn_peer({"127.0.0.2", port});
     }
-    exchange_node asker(loop, "asker", {source.rpc->local_endpoint()}, 1);
+    exchange_node requester(loop, "asker", {source.rpc->local_endpoint()}, 1);
     source.exchange->publish(config_update(3));
-    cr_assert(run_until(loop, [&] { return asker.exchange->peer_count() > 60; }));
+    cr_assert(run_until(loop, [&] { return requester.exchange->peer_count() > 60; }));
 }
 
-// All begin with the same address. Were it asked for the list by everybody, twelve nodes of eight
-// messages each would take 11 s at its eight a second.
-Test(directory_exchange, nodes_that_start_together_fetch_the_list_from_all_who_have_it) {
+// All nodes start with the same address. If all of them fetched the list from it, twelve nodes of
+// eight messages each would take 11 s at its eight messages per second.
+Test(directory_exchange, nodes_started_together_fetch_list_from_many_peers) {
     net::event_loop loop;
     constexpr std::size_t backends = 2'000;
-    const parts_source::limits eight_a_second{.most_in_message = 256, .messages_per_second = 8};
+    const parts_source::limits eight_a_second{.max_in_message = 256, .messages_per_second = 8};
     std::vector<std::unique_ptr<exchange_node>> known;
     for (int index = 0; index < 24; ++index) {
         known.push_back(std::make_unique<exchange_node>(loop, "known-" + std::to_string(index),
@@ -131,8 +131,8 @@
     cr_assert(run_until(loop, have_all, std::chrono::seconds(5)));
 }
 
-// Nodes that know all others draw two of them for each number, each as often as another.
-Test(directory_exchange, nodes_draw_the_same_ones_without_a_message) {
+// Nodes that know all others select two of them for each number, each equally often.
+Test(directory_exchange, nodes_select_the_same_nodes_without_messages) {
     net::event_loop loop;
     std::vector<std::unique_ptr<exchange_node>> nodes;
     for (int index = 0; index < 8; ++index) {
@@ -140,35 +140,38 @@
                                                         std::vector<net::endpoint>(), 0));
     }
     const auto introduce_all = [&](std::size_t known) {
-        for (std::size_t one = 0; one < nodes.size(); ++one) {
+        for (std::size_t index = 0; index < nodes.size(); ++index) {
             for (std::size_t other = 0; other < known; ++other) {
-                nodes[one]->exchange->learn_peer(nodes[(one + other) % 8]->rpc->local_endpoint());
+                nodes[index]->exchange->learn_peer(
+                    nodes[(index + other) % 8]->rpc->local_endpoint());
             }
         }
     };
-    const auto drawn_in = [&](std::uint64_t number) {
+    const auto selected_for = [&](std::uint64_t number) {
         return std::count_if(nodes.begin(), nodes.end(), [number](const auto& node) {
-            return node->exchange->is_drawn(number);
+            return node->exchange->is_selected(number);
         });
     };
     introduce_all(4);
     for (std::uint64_t number = 0; number < 200; ++number) {
-        cr_assert(drawn_in(number) >= 2, "who knows fewer is drawn more often, not less");
+        cr_assert(selected_for(number) >= 2,
+                  "a node that knows fewer peers is selected more often, not less");
     }
     introduce_all(8);
-    std::vector<int> turns(nodes.size());
+    std::vector<int> selections(nodes.size());
     for (std::uint64_t number = 0; number < 800; ++number) {
-        cr_assert(drawn_in(number) == 2);
-        for (std::size_t one = 0; one < nodes.size(); ++one) {
-            turns[one] += nodes[one]->exchange->is_drawn(number) ? 1 : 0;
+        cr_assert(selected_for(number) == 2);
+        for (std::size_t index = 0; index < nodes.size(); ++index) {
+            selections[index] += nodes[index]->exchange->is_selected(number) ? 1 : 0;
         }
     }
-    cr_assert(*std::min_element(turns.begin(), turns.end()) >= 120, "200 each in the mean");
+    cr_assert(*std::min_element(selections.begin(), selections.end()) >= 120,
+              "the mean is 200 selections");
 }
 
-// Seeds may be stale, and nodes be replaced: an address that is nobody's looks at nothing. A change
-// is to be in force within four intervals.
-Test(directory_exchange, addresses_without_a_node_leave_hardly_an_interval_to_nobody) {
+// Seeds may be stale, and nodes may be replaced: no node polls the service on behalf of an address
+// without one. A change must take effect within four intervals.
+Test(directory_exchange, stale_addresses_leave_few_intervals_without_poll) {
     net::event_loop loop;
     const std::vector<net::endpoint> stale{{"127.0.0.1", 1}, {"127.0.0.1", 2}, {"127.0.0.1", 3}};
     std::vector<std::unique_ptr<exchange_node>> nodes;
@@ -184,14 +187,15 @@
         }
         cr_assert(node->exchange->peer_count() == 11 + 3 + 1);
     }
-    int longest = 0;
-    int missed_in_row = 0;
+    int max_missed_intervals = 0;
+    int missed_intervals = 0;
     for (std::uint64_t number = 0; number < 20'000; ++number) {
-        const bool is_anybodys = std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
-            return node->exchange->is_drawn(number);
+        const bool is_any_selected = std::any_of(nodes.begin(), nodes.end(), [&](const auto& node) {
+            return node->exchange->is_selected(number);
         });
-        missed_in_row = is_anybodys ? 0 : missed_in_row + 1;
-        longest = std::max(longest, missed_in_row);
+        missed_intervals = is_any_selected ? 0 : missed_intervals + 1;
+        max_missed_intervals = std::max(max_missed_intervals, missed_intervals);
     }
-    cr_assert(longest <= 2, "%d intervals in a row were nobody's", longest);
+    cr_assert(max_missed_intervals <= 2, "no node was selected in %d successive intervals",
+              max_missed_intervals);
 }
--- a/tests/unit/directory/service_watch_test.cc
+++ b/tests/unit/directory/service_watch_test.cc
@@ -20,21 +20,21 @@
 using call = service_watch::call;
 using outcome = service_watch::outcome;
 
-/// Many nodes, the service and what nodes tell each other, in virtual time.
-class watched_service {
+/// Simulates many nodes, the service and the messages between nodes in virtual time.
+class simulated_fleet {
   public:
-    explicit watched_service(std::size_t size, std::uint64_t seed) : random(seed) {
+    explicit simulated_fleet(std::size_t size, std::uint64_t seed) : random(seed) {
         for (std::size_t index = 0; index < size; ++index) {
             this->nodes.push_back(std::make_unique<node>(this->random));
         }
         for (std::size_t index = 0; index < size; ++index) {
-            node& one = *this->nodes[index];
-            one.plan.begin(this->now, index < contacts);
+            node& target = *this->nodes[index];
+            target.plan.begin(this->now, index < contacts);
             this->wake(index);
             if (index >= contacts) {
-                // The first question that it asks is answered by one of the first.
+                // One of the first nodes replies to its first poll.
                 this->later(milliseconds{10},
-                            [this, index] { this->nodes[index]->plan.note_reader(this->now); });
+                            [this, index] { this->nodes[index]->plan.on_peer_reading(this->now); });
             }
         }
     }
@@ -46,10 +46,10 @@
             this->later(milliseconds{4}, [this, index] { this->end_watch(index); });
         }
     }
-    bool everybody_knows() const { return this->all_know == this->revision; }
-    void kill_watchers() {
-        const std::set<std::size_t> killed = std::exchange(this->waiting, {});
-        this->dead.insert(killed.begin(), killed.end());
+    bool all_nodes_are_current() const { return this->known_by_all == this->revision; }
+    void stop_watchers() {
+        const std::set<std::size_t> stopped = std::exchange(this->waiting, {});
+        this->failed_nodes.insert(stopped.begin(), stopped.end());
     }
     void run_until(base::instant end) {
         while (!this->events.empty() && this->events.begin()->first <= end) {
@@ -66,17 +66,17 @@
     }
 
     base::instant now{base::seconds{1'000}};
-    /// Nodes that the service turns away, and those that do nothing at all.
-    std::set<std::size_t> refused;
-    std::set<std::size_t> dead;
-    bool is_deaf = false;
-    /// Each node has heard of so many, itself included.
+    /// Nodes that the service rejects, and nodes that have failed.
+    std::set<std::size_t> rejected_nodes;
+    std::set<std::size_t> failed_nodes;
+    bool drops_changes = false;
+    /// Number of nodes that each node knows, including itself.
     std::size_t known_nodes = SIZE_MAX;
     std::uint64_t revision = 1;
     std::vector<base::instant> changed_at;
     std::map<call, std::uint64_t> calls;
-    /// Longest time from a change until a node knew of it.
-    milliseconds slowest{0};
+    /// Longest time from a change until all nodes had it.
+    milliseconds max_delay{0};
 
   private:
     struct node {
@@ -87,33 +87,33 @@
     };
 
     static constexpr std::size_t contacts = 3;
-    /// Until all others know what one node has learned.
-    static constexpr milliseconds told_after{300};
+    /// Delay until all other nodes have what one node has learned.
+    static constexpr milliseconds propagation_delay{300};
 
-    service_watch::knowledge knowledge_of(std::size_t index) const {
+    service_watch::node_state knowledge_of(std::size_t index) const {
         const std::size_t size = std::min(this->nodes.size(), this->known_nodes);
-        return {.company = {.peers = size - 1, .connected = true},
-                .is_drawn =
+        return {.connectivity = {.peers = size - 1, .connected = true},
+                .is_selected =
                     [this, index, size](std::uint64_t interval) {
-                        return this->is_drawn(interval, size, index % size);
+                        return this->is_selected(interval, size, index % size);
                     },
-                .is_level = this->nodes[index]->known > 0,
+                .has_all_parts = this->nodes[index]->known > 0,
                 .unix_time = this->now.time_since_epoch().count()};
     }
-    /// Of the nodes that share what they know of others: two in `size`.
-    static bool is_drawn(std::uint64_t interval, std::size_t size, std::size_t index) {
-        base::random_source draw(interval);
-        const std::uint64_t first = draw.below(size);
-        const std::uint64_t second = (first + 1 + draw.below(size - 1)) % size;
+    /// Two of the nodes are selected; `size` nodes know each other.
+    static bool is_selected(std::uint64_t interval, std::size_t size, std::size_t index) {
+        base::random_source generator(interval);
+        const std::uint64_t first = generator.below(size);
+        const std::uint64_t second = (first + 1 + generator.below(size - 1)) % size;
         return index == first || index == second;
     }
     void wake(std::size_t index) {
-        node& one = *this->nodes[index];
-        const base::instant next = one.plan.next();
+        node& target = *this->nodes[index];
+        const base::instant next = target.plan.next();
         if (next == base::instant::max()) {
             return;
         }
-        const std::uint64_t number = ++one.wake_number;
+        const std::uint64_t number = ++target.wake_number;
         this->events.emplace(std::max(next, this->now), [this, index, number] {
             if (this->nodes[index]->wake_number == number) {
                 this->run(index,
@@ -128,38 +128,38 @@
         this->wake(index);
     }
     void begin(std::size_t index, const service_watch::action& next) {
-        if (this->dead.count(index) > 0) {
+        if (this->failed_nodes.count(index) > 0) {
             return;
         }
-        if (next.what == call::pass_on) {
+        if (next.what == call::delegate) {
             const std::size_t peer = this->random.below(this->nodes.size());
-            this->later(milliseconds{3}, [this, peer, passes = next.passes] {
-                this->run(peer, this->nodes[peer]->plan.asked(passes));
+            this->later(milliseconds{3}, [this, peer, hops = next.hops] {
+                this->run(peer, this->nodes[peer]->plan.on_poll_request(hops));
             });
             return;
         }
         ++this->calls[next.what];
-        if (this->refused.count(index) > 0) {
+        if (this->rejected_nodes.count(index) > 0) {
             this->later(milliseconds{4},
                         [this, index, next] { this->end(index, next, outcome::failed); });
         } else if (next.what == call::read) {
             this->later(milliseconds{250},
                         [this, index, next] { this->end(index, next, this->learn(index)); });
         } else if (next.what == call::watch &&
-                   (this->is_deaf || this->nodes[index]->known == this->revision)) {
+                   (this->drops_changes || this->nodes[index]->known == this->revision)) {
             this->waiting.insert(index);
             this->later(milliseconds{20'000}, [this, index] {
                 if (this->waiting.erase(index) > 0) {
-                    this->end(index, {.what = call::watch}, outcome::nothing);
+                    this->end(index, {.what = call::watch}, outcome::unchanged);
                 }
             });
         } else {
             this->later(milliseconds{4}, [this, index, next] {
-                const bool is_level = this->nodes[index]->known == this->revision;
-                if (this->is_deaf && !is_level) {
+                const bool has_all_parts = this->nodes[index]->known == this->revision;
+                if (this->drops_changes && !has_all_parts) {
                     this->end(index, next, outcome::missed);
                 } else {
-                    this->end(index, next, is_level ? outcome::nothing : this->learn(index));
+                    this->end(index, next, has_all_parts ? outcome::unchanged : this->learn(index));
                 }
             });
         }
@@ -168,32 +168,35 @@
         this->end(index, {.what = call::watch}, this->learn(index));
     }
     void end(std::size_t index, const service_watch::action& ended, outcome how) {
-        if (this->dead.count(index) == 0) {
-            this->run(index, this->nodes[index]->plan.ended(ended.what, how, ended.passes,
-                                                            this->knowledge_of(index), this->now));
+        if (this->failed_nodes.count(index) == 0) {
+            this->run(index,
+                      this->nodes[index]->plan.on_call_ended(ended.what, how, ended.hops,
+                                                             this->knowledge_of(index), this->now));
         }
     }
-    /// Everything of now, told to all others in a while.
+    /// Gives the node the current revision, which all other nodes receive later.
     outcome learn(std::size_t index) {
-        node& one = *this->nodes[index];
-        if (one.known == this->revision) {
-            return outcome::known;
+        node& target = *this->nodes[index];
+        if (target.known == this->revision) {
+            return outcome::known_changes;
         }
-        one.known = this->revision;
-        this->later(told_after, [this, told = this->revision] { this->tell_all(told); });
-        return outcome::news;
+        target.known = this->revision;
+        this->later(propagation_delay,
+                    [this, published = this->revision] { this->publish_to_all(published); });
+        return outcome::new_changes;
     }
-    void tell_all(std::uint64_t told) {
-        if (told <= this->all_know) {
+    void publish_to_all(std::uint64_t published) {
+        if (published <= this->known_by_all) {
             return;
         }
-        for (auto number = this->all_know; number < told && number > 0; ++number) {
-            this->slowest = std::max(this->slowest, std::chrono::duration_cast<milliseconds>(
-                                                        this->now - this->changed_at[number - 1]));
+        for (auto number = this->known_by_all; number < published && number > 0; ++number) {
+            this->max_delay = std::max(
+                this->max_delay,
+                std::chrono::duration_cast<milliseconds>(this->now - this->changed_at[number - 1]));
         }
-        this->all_know = told;
-        for (const auto& one : this->nodes) {
-            one->known = std::max(one->known, told);
+        this->known_by_all = published;
+        for (const auto& target : this->nodes) {
+            target->known = std::max(target->known, published);
         }
     }
 
@@ -201,156 +204,156 @@
     std::vector<std::unique_ptr<node>> nodes;
     std::multimap<base::instant, std::function<void()>> events;
     std::set<std::size_t> waiting;
-    std::uint64_t all_know = 0;
+    std::uint64_t known_by_all = 0;
 };
 
-std::uint64_t all_calls(const watched_service& service) {
+std::uint64_t all_calls(const simulated_fleet& fleet) {
     std::uint64_t sum = 0;
-    for (const auto& [what, count] : service.calls) {
+    for (const auto& [kind, count] : fleet.calls) {
         sum += count;
     }
     return sum;
 }
 
-void change_every(watched_service& service, milliseconds interval, int times) {
+void change_every(simulated_fleet& fleet, milliseconds interval, int times) {
     for (int index = 0; index < times; ++index) {
-        service.run_until(service.now + interval);
-        service.change();
+        fleet.run_until(fleet.now + interval);
+        fleet.change();
     }
 }
 
 }  // namespace
 
-Test(service_watch, a_thousand_nodes_that_start_read_through_a_few) {
-    watched_service service(1'000, 1);
-    service.run_until(service.now + base::seconds{10});
-    cr_assert(service.calls[call::read] <= 10, "%lu readings, %lu watches, %lu looks",
-              service.calls[call::read], service.calls[call::watch], service.calls[call::look]);
-    cr_assert(all_calls(service) <= 60, "%lu calls in 10 s", all_calls(service));
+Test(service_watch, few_of_1000_starting_nodes_read) {
+    simulated_fleet fleet(1'000, 1);
+    fleet.run_until(fleet.now + base::seconds{10});
+    cr_assert(fleet.calls[call::read] <= 10, "%lu reads, %lu watches, %lu polls",
+              fleet.calls[call::read], fleet.calls[call::watch], fleet.calls[call::poll]);
+    cr_assert(all_calls(fleet) <= 60, "%lu calls in 10 s", all_calls(fleet));
 }
 
-// At a start nodes know a few others, some seconds later all: whoever's turn it is then must know.
-Test(service_watch, turns_are_taken_by_those_whose_turn_it_is_as_the_company_grows) {
-    watched_service service(1'000, 8);
-    service.known_nodes = 4;
-    service.run_until(service.now + base::seconds{2});
-    service.known_nodes = 300;
-    service.run_until(service.now + base::seconds{2});
-    service.known_nodes = 1'000;
-    service.slowest = milliseconds{0};
+// Nodes know a few others when they start, and all others some seconds later. The nodes selected
+// then must have the changes.
+Test(service_watch, changes_spread_while_number_of_known_nodes_grows) {
+    simulated_fleet fleet(1'000, 8);
+    fleet.known_nodes = 4;
+    fleet.run_until(fleet.now + base::seconds{2});
+    fleet.known_nodes = 300;
+    fleet.run_until(fleet.now + base::seconds{2});
+    fleet.known_nodes = 1'000;
+    fleet.max_delay = milliseconds{0};
     for (int times = 0; times < 6; ++times) {
-        service.kill_watchers();
-        change_every(service, milliseconds{5'000}, 1);
+        fleet.stop_watchers();
+        change_every(fleet, milliseconds{5'000}, 1);
     }
-    service.run_until(service.now + base::seconds{5});
-    cr_assert(service.everybody_knows());
-    cr_assert(service.slowest <= milliseconds{2'000}, "%lld ms",
-              static_cast<long long>(service.slowest.count()));
+    fleet.run_until(fleet.now + base::seconds{5});
+    cr_assert(fleet.all_nodes_are_current());
+    cr_assert(fleet.max_delay <= milliseconds{2'000}, "%lld ms",
+              static_cast<long long>(fleet.max_delay.count()));
 }
 
-// Ten changes a second for 49 s, a third of the nodes turned away for 9 s of them.
-Test(service_watch, a_thousand_nodes_make_as_few_calls_as_thirty) {
+// Ten changes per second for 49 s, with a third of the nodes rejected for 9 s of them.
+Test(service_watch, number_of_calls_is_independent_of_fleet_size) {
     std::map<std::size_t, std::uint64_t> calls;
     for (const std::size_t size : {std::size_t{30}, std::size_t{1'000}, std::size_t{2'000}}) {
-        watched_service service(size, 2);
-        service.run_until(service.now + base::seconds{10});
-        service.calls.clear();
-        change_every(service, milliseconds{100}, 200);
+        simulated_fleet fleet(size, 2);
+        fleet.run_until(fleet.now + base::seconds{10});
+        fleet.calls.clear();
+        change_every(fleet, milliseconds{100}, 200);
         for (std::size_t index = 0; index < size; index += 3) {
-            service.refused.insert(index);
+            fleet.rejected_nodes.insert(index);
         }
-        change_every(service, milliseconds{100}, 90);
-        service.refused.clear();
-        change_every(service, milliseconds{100}, 200);
-        calls[size] = all_calls(service);
-        cr_assert(service.slowest <= milliseconds{2'000}, "%zu nodes: %lld ms", size,
-                  static_cast<long long>(service.slowest.count()));
-        cr_assert(calls[size] <= 400, "%zu nodes: %lu calls: %lu watches, %lu looks, %lu readings",
-                  size, calls[size], service.calls[call::watch], service.calls[call::look],
-                  service.calls[call::read]);
+        change_every(fleet, milliseconds{100}, 90);
+        fleet.rejected_nodes.clear();
+        change_every(fleet, milliseconds{100}, 200);
+        calls[size] = all_calls(fleet);
+        cr_assert(fleet.max_delay <= milliseconds{2'000}, "%zu nodes: %lld ms", size,
+                  static_cast<long long>(fleet.max_delay.count()));
+        cr_assert(calls[size] <= 400, "%zu nodes: %lu calls: %lu watches, %lu polls, %lu reads",
+                  size, calls[size], fleet.calls[call::watch], fleet.calls[call::poll],
+                  fleet.calls[call::read]);
     }
-    cr_assert(calls[2'000] <= 2 * calls[30], "%lu of 2,000 nodes, %lu of 30", calls[2'000],
+    cr_assert(calls[2'000] <= 2 * calls[30], "%lu calls of 2,000 nodes, %lu of 30", calls[2'000],
               calls[30]);
 }
 
-// Every node that watches dies: whoever looks next takes its place.
-Test(service_watch, changes_are_heard_of_when_all_who_watched_have_gone) {
-    watched_service service(100, 3);
-    service.run_until(service.now + base::seconds{10});
-    change_every(service, milliseconds{100}, 50);
+// All watching nodes fail. The nodes that poll next must watch in their place.
+Test(service_watch, changes_spread_after_all_watchers_failed) {
+    simulated_fleet fleet(100, 3);
+    fleet.run_until(fleet.now + base::seconds{10});
+    change_every(fleet, milliseconds{100}, 50);
     for (std::size_t index = 0; index < 100; index += 2) {
-        service.dead.insert(index);
+        fleet.failed_nodes.insert(index);
     }
-    service.slowest = milliseconds{0};
-    change_every(service, milliseconds{500}, 40);
-    service.run_until(service.now + base::seconds{5});
-    cr_assert(service.everybody_knows());
-    cr_assert(service.slowest <= milliseconds{5'000}, "%lld ms",
-              static_cast<long long>(service.slowest.count()));
+    fleet.max_delay = milliseconds{0};
+    change_every(fleet, milliseconds{500}, 40);
+    fleet.run_until(fleet.now + base::seconds{5});
+    cr_assert(fleet.all_nodes_are_current());
+    cr_assert(fleet.max_delay <= milliseconds{5'000}, "%lld ms",
+              static_cast<long long>(fleet.max_delay.count()));
 }
 
-// The service tells watches nothing, all of them at once and for seconds.
-Test(service_watch, what_watches_are_not_told_is_read_within_the_bound) {
-    watched_service service(30, 4);
-    service.run_until(service.now + base::seconds{10});
-    service.is_deaf = true;
-    service.slowest = milliseconds{0};
-    change_every(service, milliseconds{700}, 20);
-    service.run_until(service.now + base::seconds{2});
-    cr_assert(service.everybody_knows());
-    cr_assert(service.slowest <= milliseconds{2'000}, "%lld ms",
-              static_cast<long long>(service.slowest.count()));
+// Watches report nothing, all of them at once and for seconds.
+Test(service_watch, changes_missed_by_watches_are_read_in_time) {
+    simulated_fleet fleet(30, 4);
+    fleet.run_until(fleet.now + base::seconds{10});
+    fleet.drops_changes = true;
+    fleet.max_delay = milliseconds{0};
+    change_every(fleet, milliseconds{700}, 20);
+    fleet.run_until(fleet.now + base::seconds{2});
+    cr_assert(fleet.all_nodes_are_current());
+    cr_assert(fleet.max_delay <= milliseconds{2'000}, "%lld ms",
+              static_cast<long long>(fleet.max_delay.count()));
 }
 
-Test(service_watch, a_node_that_no_peer_answers_watches_for_itself) {
+Test(service_watch, node_without_connected_peers_watches) {
     base::random_source random(5);
     service_watch plan(random, {});
     const base::instant start{base::seconds{50}};
     plan.begin(start, false);
-    const service_watch::knowledge alone{
-        .company = {}, .is_drawn = nullptr, .is_level = true, .unix_time = 0};
+    const service_watch::node_state unconnected{
+        .connectivity = {}, .is_selected = nullptr, .has_all_parts = true, .unix_time = 0};
     base::instant now = start;
     int watches = 0;
     for (int step = 0; step < 200 && watches == 0; ++step) {
         now = plan.next();
-        for (const service_watch::action& next : plan.advance(alone, now)) {
+        for (const service_watch::action& next : plan.advance(unconnected, now)) {
             watches += next.what == call::watch ? 1 : 0;
         }
     }
     cr_assert(watches == 1 && now < start + base::seconds{2});
-    const auto after = plan.ended(call::watch, outcome::failed, 0, alone, now);
-    cr_assert(after.empty() && plan.next() <= now + base::seconds{1}, "it tries again");
+    const auto after = plan.on_call_ended(call::watch, outcome::failed, 0, unconnected, now);
+    cr_assert(after.empty() && plan.next() <= now + base::seconds{1}, "the node tries again");
 }
 
-Test(service_watch, a_node_that_was_told_everything_reads_nothing) {
+Test(service_watch, node_with_all_parts_does_not_read) {
     base::random_source random(6);
     service_watch plan(random, {});
     base::instant now{base::seconds{50}};
     plan.begin(now, false);
-    const service_watch::knowledge told{
-        .company = {.peers = 500, .connected = true},
-        .is_drawn = [](std::uint64_t /*interval*/) { return false; },
-        .is_level = true,
+    const service_watch::node_state fully_updated{
+        .connectivity = {.peers = 500, .connected = true},
+        .is_selected = [](std::uint64_t /*interval*/) { return false; },
+        .has_all_parts = true,
         .unix_time = 0};
     for (int step = 0; step < 100; ++step) {
         now = plan.next();
-        cr_assert(plan.advance(told, now).empty());
+        cr_assert(plan.advance(fully_updated, now).empty());
     }
 }
 
-Test(service_watch, a_look_is_passed_on_a_few_times_only) {
+Test(service_watch, poll_is_delegated_a_limited_number_of_times) {
     base::random_source random(7);
     service_watch plan(random, {});
-    const service_watch::knowledge known{
-        .company = {.peers = 5, .connected = true},
-        .is_drawn = [](std::uint64_t /*interval*/) { return false; },
-        .is_level = true,
+    const service_watch::node_state known{
+        .connectivity = {.peers = 5, .connected = true},
+        .is_selected = [](std::uint64_t /*interval*/) { return false; },
+        .has_all_parts = true,
         .unix_time = 0};
     const base::instant now{base::seconds{50}};
     plan.begin(now, false);
     plan.advance(known, now + base::seconds{1});
-    const auto first = plan.ended(call::look, outcome::failed, 0, known, now);
-    cr_assert(first.size() == 1 && first.front().what == call::pass_on &&
-              first.front().passes == 1);
-    cr_assert(plan.ended(call::look, outcome::failed, 3, known, now).empty());
+    const auto first = plan.on_call_ended(call::poll, outcome::failed, 0, known, now);
+    cr_assert(first.size() == 1 && first.front().what == call::delegate && first.front().hops == 1);
+    cr_assert(plan.on_call_ended(call::poll, outcome::failed, 3, known, now).empty());
 }
--- a/tests/unit/fleet/store_follower_test.cc
+++ b/tests/unit/fleet/store_follower_test.cc
@@ -61,21 +61,21 @@
         return true;
     }
     std::uint64_t known_revision() const override { return revision; }
-    directory::service_watch::knowledge knowledge() const override {
-        return {.company = company,
-                .is_drawn = [this](std::uint64_t /*interval*/) { return is_drawn; },
-                .is_level = revision > 0,
+    directory::service_watch::node_state knowledge() const override {
+        return {.connectivity = connectivity,
+                .is_selected = [this](std::uint64_t /*interval*/) { return is_selected; },
+                .has_all_parts = revision > 0,
                 .unix_time = clock.unix_microseconds()};
     }
-    void pass_on(std::uint32_t passes) override { passed_on.push_back(passes); }
+    void delegate(std::uint32_t hops) override { passed_on.push_back(hops); }
 
     net::event_loop loop;
     base::system_clock_source clock;
     emulator::metadata_store store{loop};
     base::metrics_registry metrics;
     base::random_source random{1};
-    directory::watch_company company;
-    bool is_drawn = true;
+    directory::peer_connectivity connectivity;
+    bool is_selected = true;
     std::unique_ptr<platform::store_client> client;
     std::unique_ptr<platform::store_follower> follower;
     std::map<std::string, std::string> gathered;
@@ -115,7 +115,7 @@
     fixture.store.put("a", "1");
     fixture.revision = 1;
     fixture.told = {{"a", "1"}};
-    fixture.company = {.peers = 1, .connected = true};
+    fixture.connectivity = {.peers = 1, .connected = true};
     fixture.start();
     fixture.store.put("a", "2");
     cr_assert(run_until(fixture.loop, [&] { return fixture.value("a") == "2"; }));
@@ -153,7 +153,7 @@
     follower_fixture fixture;
     fixture.store.put("a", "1");
     fixture.revision = 1;
-    fixture.company = {.peers = 1, .connected = true};
+    fixture.connectivity = {.peers = 1, .connected = true};
     fixture.store.set_trouble(emulator::metadata_store::trouble::refusing);
     fixture.start();
     cr_assert(run_until(fixture.loop, [&] { return !fixture.passed_on.empty(); }));
@@ -167,7 +167,7 @@
     follower_fixture fixture;
     fixture.store.put("a", "1");
     fixture.revision = 1;
-    fixture.company = {.peers = 1, .connected = true};
+    fixture.connectivity = {.peers = 1, .connected = true};
     fixture.store.set_trouble(emulator::metadata_store::trouble::silent);
     fixture.start(base::milliseconds{2'000});
     cr_assert(run_until(
@@ -180,8 +180,8 @@
     follower_fixture fixture;
     fixture.store.put("a", "1");
     fixture.revision = 1;
-    fixture.company = {.peers = 1'000, .connected = true};
-    fixture.is_drawn = false;
+    fixture.connectivity = {.peers = 1'000, .connected = true};
+    fixture.is_selected = false;
     fixture.start(base::milliseconds{600});
     run_for(fixture.loop, base::milliseconds{800});
     fixture.store.put("a", "2");
