--- a/tests/unit/fleet/foreign_entries_test.cc
+++ b/tests/unit/fleet/foreign_entries_test.cc
@@ -1,4 +1,4 @@
-// Entries of the outside service that another writer wrote, or that can't be read.
+// Entries of the directory service that another writer wrote, or that are malformed.
 #include <cstddef>
 #include <string>
 #include <utility>
@@ -14,19 +14,19 @@
 
 namespace {
 
-/// A whole entry, with one field replaced; without it when `value` is empty.
+/// Returns a complete entry with one field replaced, or without the field if `value` is empty.
 std::string entry_with(const std::string& field, const std::string& value) {
-    const std::vector<std::pair<std::string, std::string>> whole{
+    const std::vector<std::pair<std::string, std::string>> complete{
         {"service", R"("tool")"}, {"address", R"("10.1.0.9:8080")"},
         {"zone", R"("a")"},       {"version", R"("v1")"},
         {"slots", "12"},          {"state", R"("ready")"},
         {"cold_left_ms", "0"},    {"seq", "4"},
         {"born", "1764710400123"}};
     std::string text = "{";
-    for (const auto& [name, usual] : whole) {
-        const std::string& shown = name == field ? value : usual;
-        if (!shown.empty()) {
-            text += (text.size() > 1 ? "," : "") + ("\"" + name + "\":") + shown;
+    for (const auto& [name, default_value] : complete) {
+        const std::string& used_value = name == field ? value : default_value;
+        if (!used_value.empty()) {
+            text += (text.size() > 1 ? "," : "") + ("\"" + name + "\":") + used_value;
         }
     }
     return text + "}";
@@ -45,8 +45,8 @@
     return fleet.edges[0]->node.parts().directory().state().current();
 }
 
-/// Runs until the edge knows what the store holds now.
-void let_edge_see(fleet_fixture& fleet) {
+/// Runs until the edge has the current contents of the store.
+void wait_for_edge(fleet_fixture& fleet) {
     const std::string marker = "i-marker-" + std::to_string(fleet.runners.size());
     fleet.add_runner("other", marker);
     cr_assert(run_until(fleet.loop, [&] {
@@ -57,21 +57,22 @@
 
 }  // namespace
 
-Test(foreign_entries, a_whole_entry_names_a_back_end) {
-    const auto whole = platform::read_backend("i", entry_with("", ""));
-    cr_assert(whole.ok() && whole->service == "tool" && whole->zone == "a" && !whole->draining);
-    cr_assert(whole->slots == 12 && whole->started_at == 1'764'710'400'123);
+Test(foreign_entries, complete_entry_yields_back_end) {
+    const auto complete = platform::read_backend("i", entry_with("", ""));
+    cr_assert(complete.ok() && complete->service == "tool" && complete->zone == "a" &&
+              !complete->draining);
+    cr_assert(complete->slots == 12 && complete->started_at == 1'764'710'400'123);
     cr_assert(platform::read_backend("i", entry_with("state", R"("draining")"))->draining);
 }
 
-Test(foreign_entries, what_is_not_needed_may_be_missing) {
+Test(foreign_entries, optional_fields_may_be_missing) {
     for (const char* field : {"version", "seq", "cold_left_ms", "born"}) {
         cr_assert(platform::read_backend("i", entry_with(field, "")).ok(), "%s", field);
     }
     cr_assert(platform::read_backend("i", entry_with("born", ""))->started_at == 0);
 }
 
-Test(foreign_entries, one_whose_needed_fields_are_missing_names_none) {
+Test(foreign_entries, entry_without_required_field_is_rejected) {
     for (const char* field : {"service", "address", "zone", "slots", "state"}) {
         const auto read = platform::read_backend("i", entry_with(field, ""));
         cr_assert(!read.ok(), "%s", field);
@@ -80,7 +81,7 @@
     }
 }
 
-Test(foreign_entries, one_with_a_field_of_another_type_names_none) {
+Test(foreign_entries, entry_with_field_of_wrong_type_is_rejected) {
     for (const char* field : {"service", "address", "zone", "state"}) {
         for (const char* value : {"null", "[]", "{}", "5", "true", R"("")", R"("a\u0001b")"}) {
             cr_assert(!platform::read_backend("i", entry_with(field, value)).ok(), "%s %s", field,
@@ -104,7 +105,7 @@
     cr_assert(!platform::read_backend("i", entry_with("seq", R"("x")")).ok());
 }
 
-Test(foreign_entries, one_with_a_state_or_an_address_that_is_unknown_names_none) {
+Test(foreign_entries, entry_with_unknown_state_or_address_is_rejected) {
     for (const char* value : {R"("starting")", R"("READY")", R"("ready ")"}) {
         cr_assert(!platform::read_backend("i", entry_with("state", value)).ok(), "%s", value);
     }
@@ -114,7 +115,7 @@
     }
 }
 
-Test(foreign_entries, bytes_that_are_no_entry_name_none) {
+Test(foreign_entries, malformed_json_is_rejected) {
     for (const std::string& text :
          {std::string(), std::string("{"), std::string("5"), std::string("null"), std::string("[]"),
           std::string("\xff\xfe\x00", 3), std::string(50'000, '['),
@@ -123,14 +124,14 @@
     }
 }
 
-Test(foreign_entries, an_id_that_no_header_can_carry_names_none) {
+Test(foreign_entries, id_that_no_header_can_carry_is_rejected) {
     for (const std::string& id : {std::string(), std::string("a\r\nb"), std::string("a b"),
                                   std::string("\xff"), std::string(300, 'x')}) {
         cr_assert(!platform::read_backend(id, entry_with("", "")).ok());
     }
 }
 
-Test(foreign_entries, a_storage_view_with_a_member_that_can_t_be_is_an_error) {
+Test(foreign_entries, storage_view_with_invalid_member_is_rejected) {
     const auto view_of = [](const std::string& member) {
         return platform::read_storage_view(R"({"groups":2,"members":[)" + member + "]}", 3);
     };
@@ -144,12 +145,12 @@
           R"({"node":5,"address":"10.0.0.1:7000"})", R"(5)"}) {
         cr_assert(!view_of(member).ok(), "%s", member);
     }
-    cr_assert(!view_of(good + "," + good).ok(), "one node twice");
+    cr_assert(!view_of(good + "," + good).ok(), "one node is listed twice");
     cr_assert(!platform::read_storage_view(R"({"groups":0,"members":[]})", 3).ok());
     cr_assert(!platform::read_storage_member(R"({"node":"s","address":"nowhere"})").ok());
 }
 
-Test(foreign_entries, a_configuration_with_numbers_that_can_t_be_is_not_taken) {
+Test(foreign_entries, configuration_with_invalid_numbers_is_rejected) {
     for (const char* fields :
          {R"("attempts": -1)", R"("attempts": 1e300)", R"("timeout_ms": -5)",
           R"("timeout_ms": 1e300)", R"("slo_ms": 5000000000)", R"("priority": -1)",
@@ -173,17 +174,17 @@
                    .ok());
 }
 
-Test(foreign_entries, the_others_hold_and_each_change_is_counted_once) {
+Test(foreign_entries, other_entries_stay_valid_and_each_malformed_change_is_counted_once) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.store.put("servers/i-foreign", "\xff\xfe");
     fleet.store.put("servers/i-empty", "{}");
     fleet.store.put("op/retire/", "{}");
     fleet.store.put("op/evacuate/", "{}");
-    let_edge_see(fleet);
+    wait_for_edge(fleet);
     run_for(fleet.loop, milliseconds{1'500});
-    let_edge_see(fleet);
-    cr_assert(known_by(fleet).backends->backends.size() == 4, "two and the two markers");
+    wait_for_edge(fleet);
+    cr_assert(known_by(fleet).backends->backends.size() == 4, "two back ends and the two markers");
     cr_assert(known_by(fleet).retirements->nodes.empty());
     cr_assert(known_by(fleet).emptied_zones->zones.empty());
     const std::string text = metrics_of(fleet);
@@ -191,25 +192,25 @@
     cr_assert(text.find(malformed_count("retirements", 1)) != std::string::npos);
     cr_assert(text.find(malformed_count("emptied_zones", 1)) != std::string::npos);
     fleet.store.put("servers/i-empty", R"({"state": 5})");
-    let_edge_see(fleet);
+    wait_for_edge(fleet);
     cr_assert(metrics_of(fleet).find(malformed_count("backends", 3)) != std::string::npos);
     cr_assert(fleet.call(0, "/once/x", "r").status == 200);
 }
 
-// An entry that vanishes together with others counts as lapsed and serves on; one that is there and
-// can't be read names nothing to use.
-Test(foreign_entries, back_ends_whose_entries_turn_unreadable_get_nothing_more) {
+// Guards against using back ends with malformed entries. Entries that vanish together count as
+// expired, and their back ends stay in use; a malformed entry must not have this effect.
+Test(foreign_entries, back_ends_with_malformed_entries_receive_no_requests) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     emulator::runner& other = fleet.add_runner("tool", "i-tool-2");
     cr_assert(run_until(fleet.loop, [&] { return fleet.is_settled(); }));
     fleet.store.put("servers/i-tool", "{");
     fleet.store.put("servers/i-tool-2", entry_with("slots", "null"));
-    let_edge_see(fleet);
+    wait_for_edge(fleet);
     cr_assert(fleet.call(0, "/once/x", "r1").status == 503);
     cr_assert(fleet.tool->runs().empty() && other.runs().empty());
 
     fleet.store.put("servers/i-tool", fleet.tool->list_entry("tool"));
-    let_edge_see(fleet);
-    cr_assert(fleet.call(0, "/once/x", "r2").status == 200, "it can be read again");
+    wait_for_edge(fleet);
+    cr_assert(fleet.call(0, "/once/x", "r2").status == 200, "the entry is valid again");
 }
--- a/tests/unit/fleet/translation_test.cc
+++ b/tests/unit/fleet/translation_test.cc
@@ -10,7 +10,7 @@
 
 using namespace pearbarrow;
 
-Test(translation, reads_a_configuration_and_ignores_what_it_does_not_know) {
+Test(translation, configuration_is_read_and_unknown_fields_are_ignored) {
     const auto config = platform::read_configuration(R"({
         "version": 7, "new_field": [1],
         "routes": [
@@ -28,25 +28,25 @@
     cr_assert(stream.services.size() == 2 && stream.services[0].weight == 90);
     cr_assert(stream.timeout_ms == 4000 && stream.objective_ms == 200 && stream.attempts == 2);
     cr_assert(config->routes[1].kind == directory::request_kind::non_idempotent,
-              "what is not known is treated as what forbids most");
+              "an unknown kind is treated as the most restrictive one");
     cr_assert(config->services[0].tokens_per_event == 9 &&
               config->services[1].tokens_per_event == 0);
     cr_assert(config->limits.max_body_bytes == 4194304);
 }
 
-Test(translation, a_configuration_that_can_t_be_read_is_an_error) {
+Test(translation, malformed_configuration_is_rejected) {
     for (const char* text : {"", "{", "[]", R"({"version": "x", "routes": []})",
                              R"({"routes": []})", R"({"version": 1, "routes": 5})"}) {
         cr_assert(!platform::read_configuration(text).ok(), "%s", text);
     }
 }
 
-Test(translation, reads_a_runner) {
-    const auto runner = platform::read_backend(
+Test(translation, back_end_is_read) {
+    const auto backend = platform::read_backend(
         "i-1",
         R"({"service":"x","address":"10.1.0.9:8080","zone":"z","slots":12,"state":"ready","seq":4})");
-    cr_assert(runner.ok() && runner->id == "i-1" && runner->slots == 12 && !runner->draining);
-    cr_assert(runner->address == (net::endpoint{"10.1.0.9", 8080}));
+    cr_assert(backend.ok() && backend->id == "i-1" && backend->slots == 12 && !backend->draining);
+    cr_assert(backend->address == (net::endpoint{"10.1.0.9", 8080}));
     cr_assert(
         platform::read_backend(
             "i",
@@ -54,13 +54,13 @@
             ->draining);
     cr_assert(
         !platform::read_backend("i", R"({"address":"10.1.0.9:8080","state":"draining"})").ok(),
-        "an entry without what is needed names none");
+        "an entry without required fields is rejected");
     cr_assert(!platform::read_backend("i", R"({"address":"nowhere"})").ok(),
-              "a runner without an address gets nothing");
+              "a back end without a valid address is rejected");
     cr_assert(!platform::read_backend("i", "5").ok());
 }
 
-Test(translation, reads_permitted_regions_and_what_a_cold_back_end_bears) {
+Test(translation, permitted_regions_and_cold_rate_are_read) {
     const auto config = platform::read_configuration(R"({
         "version": 7,
         "routes": [{"name": "r", "host": "h", "path_prefix": "/a/", "service": "x",
@@ -76,16 +76,16 @@
     cr_assert(config->services[1].cold_start_ms == 0 && config->services[1].cold_rate == 0);
 }
 
-Test(translation, reads_when_a_runner_started_and_how_long_it_is_cold) {
-    const auto runner = platform::read_backend(
+Test(translation, start_time_and_remaining_cold_time_are_read) {
+    const auto backend = platform::read_backend(
         "i-1",
         R"({"service":"x","address":"10.1.0.9:8080","zone":"z","slots":6,"state":"ready",
             "born":1764710400123,"cold_left_ms":2900,"seq":1})");
-    cr_assert(runner.ok());
-    cr_assert(runner->started_at == 1'764'710'400'123 && runner->cold_left_ms == 2'900);
+    cr_assert(backend.ok());
+    cr_assert(backend->started_at == 1'764'710'400'123 && backend->cold_left_ms == 2'900);
 }
 
-Test(translation, the_storage_view_survives_the_way_through_the_store) {
+Test(translation, storage_view_is_unchanged_after_write_and_read) {
     directory::storage_view view{.revision = 4, .members = {}};
     view.members.push_back({base::node_id("s"), {"10.1.0.9", 70}, "z", true});
     const auto copy = platform::read_storage_view(platform::write_storage_view(view), 9);
@@ -93,7 +93,7 @@
     cr_assert(!platform::read_storage_view("{}", 1).ok());
 }
 
-Test(translation, a_view_keeps_its_groups_and_one_from_before_there_were_any_has_one) {
+Test(translation, view_keeps_groups_and_defaults_to_one) {
     directory::storage_view view{.revision = 0, .members = {}, .groups = 2};
     view.members.push_back({.node = base::node_id("s1"),
                             .address = {"10.0.0.1", 7000},
@@ -109,7 +109,7 @@
     cr_assert(before.ok() && before->groups == 1 && before->members.front().group == 0);
 }
 
-Test(translation, a_member_announces_itself_as_it_will_stand_in_the_view) {
+Test(translation, member_is_unchanged_after_write_and_read) {
     const directory::storage_member member{
         .node = base::node_id("s1"), .address = {"10.0.0.1", 7000}, .zone = "a"};
     const auto read = platform::read_storage_member(platform::write_storage_member(member));
@@ -117,7 +117,7 @@
     cr_assert(!platform::read_storage_member("{}").ok());
 }
 
-Test(translation, reads_tenants_and_keeps_no_key) {
+Test(translation, tenants_are_read_and_keys_are_hashed) {
     const auto config = platform::read_configuration(R"({
         "version": 3, "routes": [{"name": "p", "host": "h", "path_prefix": "/", "public": true}],
         "tenants": [
@@ -133,7 +133,7 @@
     cr_assert(second.key_digests.empty() && !second.has_priority && !second.is_limited());
 }
 
-Test(translation, a_configuration_without_tenants_needs_no_keys) {
+Test(translation, configuration_without_tenants_needs_no_keys) {
     const auto config = platform::read_configuration(R"({"version": 3, "routes": []})");
     cr_assert(config.ok() && !config->has_tenants);
     const auto empty =
@@ -141,7 +141,7 @@
     cr_assert(empty.ok() && empty->has_tenants);
 }
 
-Test(translation, a_malformed_tenant_is_named_and_the_configuration_not_taken) {
+Test(translation, malformed_tenant_is_reported_and_configuration_rejected) {
     const std::vector<std::pair<const char*, const char*>> cases{
         {R"(5)", "tenants must"},
         {R"([5])", "tenants[0].name"},
