--- a/src/pearbarrow/slowstart/start_limits.cc
+++ b/src/pearbarrow/slowstart/start_limits.cc
@@ -30,10 +30,10 @@
     tenants::quota_options options{.self = std::move(self)};
     options.extra = share_extra;
     // Who has just begun to count does not know what was granted before.
-    options.at_start = 0;
+    options.initial_tokens = 0;
     options.window = base::milliseconds{1'000};
     // A permit belongs to no program.
-    options.kept_for_programs = 0;
+    options.reserved_for_programs = 0;
     return options;
 }
 
--- a/src/pearbarrow/tenants/caller_identity.cc
+++ b/src/pearbarrow/tenants/caller_identity.cc
@@ -3,7 +3,8 @@
 namespace pearbarrow::tenants {
 namespace {
 
-/// Neither a tenant's name nor a header's value can hold it, so no two pairs make the same text.
+/// Neither a tenant's name nor a header's value can contain this character, so scoped ids are
+/// unique.
 constexpr char scope_separator = '\x1f';
 
 }  // namespace
@@ -23,18 +24,19 @@
 }
 
 identity identify(const tenant_table& table, const directory::route& route,
-                  const credentials& shown) {
+                  const credentials& presented) {
     if (!table.is_needed()) {
         return {};
     }
-    const directory::tenant* holder = shown.key_count == 1 ? table.find(shown.key) : nullptr;
+    const directory::tenant* holder =
+        presented.key_count == 1 ? table.find(presented.key) : nullptr;
     if (holder != nullptr || route.is_public) {
         return {.tenant = holder};
     }
-    if (shown.key_count > 1) {
+    if (presented.key_count > 1) {
         return {.verdict = identity_verdict::several_keys};
     }
-    const bool is_missing = shown.key_count == 0 || shown.key.empty();
+    const bool is_missing = presented.key_count == 0 || presented.key.empty();
     return {.verdict = is_missing ? identity_verdict::missing_key : identity_verdict::unknown_key};
 }
 
--- a/src/pearbarrow/tenants/caller_identity.h
+++ b/src/pearbarrow/tenants/caller_identity.h
@@ -1,4 +1,4 @@
-/// Whose request it is, by the configuration in force at the moment of asking.
+/// Identifies the tenant that sends a request, by the active configuration.
 #pragma once
 
 #include <string>
@@ -9,17 +9,17 @@
 
 namespace pearbarrow::tenants {
 
-/// What a request showed to say who sends it.
+/// The keys that a request presents.
 struct credentials {
     std::size_t key_count = 0;
     std::string_view key;
 };
 
 enum class identity_verdict {
-    /// The request may go on, as that of `tenant` or of nobody in particular.
+    /// The request is forwarded, on behalf of `tenant` or without a tenant.
     accepted,
     missing_key,
-    /// More than one key: which of them counts would be a guess.
+    /// The request has more than one key, and nothing says which of them is valid.
     several_keys,
     unknown_key,
 };
@@ -28,16 +28,16 @@
 
 struct identity {
     identity_verdict verdict = identity_verdict::accepted;
-    /// Null where the request is nobody's: there are no tenants, or the route is public and the
-    /// request came without a key that somebody holds.
+    /// Null if the request belongs to no tenant: none are configured, or the route is public and
+    /// the request has no key of a tenant.
     const directory::tenant* tenant = nullptr;
 };
 
 identity identify(const tenant_table& table, const directory::route& route,
-                  const credentials& shown);
+                  const credentials& presented);
 
-/// The name under which a tenant's program or turn is kept: another tenant's of the same id is
-/// another one, wherever it is asked for. Without a tenant it is the id itself.
+/// Returns the name under which a tenant's program or turn is stored, so that equal ids of two
+/// tenants stay distinct. Without a tenant the name is the id itself.
 std::string scoped_id(std::string_view tenant, std::string_view id);
 
 }  // namespace pearbarrow::tenants
--- a/src/pearbarrow/tenants/quota_client.cc
+++ b/src/pearbarrow/tenants/quota_client.cc
@@ -21,72 +21,74 @@
     return "unknown";
 }
 
-/// One question on its way from member to member.
-class quota_client::inquiry final : public turns::turn_operation {
+/// A request that is sent to one member after another until one grants it.
+class quota_client::pending_request final : public turns::turn_operation {
   public:
-    inquiry(quota_client& client, quota_question question,
-            std::function<void(const quota_decision&)> done)
+    pending_request(quota_client& client, quota_question request,
+                    std::function<void(const quota_decision&)> done)
         : client(client),
-          question(std::move(question)),
-          members(client.order_for(this->question)),
+          request(std::move(request)),
+          members(client.member_order(this->request)),
           done(std::move(done)) {}
 
-    /// From the loop: whoever asks has not got this operation yet.
+    /// Defers the first call to the event loop, since the caller does not hold this operation yet.
     void start() {
-        this->next = this->client.loop.after(base::milliseconds{0}, [this] { this->ask_next(); });
+        this->next_call =
+            this->client.loop.after(base::milliseconds{0}, [this] { this->call_next(); });
     }
 
   private:
-    void ask_next() {
-        if (this->asked == this->members.size()) {
+    void call_next() {
+        if (this->tried == this->members.size()) {
             this->finish();
             return;
         }
-        const directory::storage_member& member = this->members[this->asked];
-        ++this->asked;
+        const directory::storage_member& member = this->members[this->tried];
+        ++this->tried;
         this->call = this->client.caller.call(
-            member, this->client.options.method, wire::encode(this->question),
+            member, this->client.options.method, wire::encode(this->request),
             this->client.options.patience,
             [this, node = member.node](const absl::StatusOr<std::string>& payload) {
-                this->take(node, payload);
+                this->on_reply(node, payload);
             });
     }
 
-    void take(const base::node_id& node, const absl::StatusOr<std::string>& payload) {
-        const auto answer = payload.ok() ? wire::decode<quota_answer>(*payload)
-                                         : absl::StatusOr<quota_answer>(payload.status());
-        if (!answer.ok()) {
-            this->client.note_silent(node);
-            this->go_on();
+    void on_reply(const base::node_id& node, const absl::StatusOr<std::string>& payload) {
+        const auto reply = payload.ok() ? wire::decode<grant_reply>(*payload)
+                                        : absl::StatusOr<grant_reply>(payload.status());
+        if (!reply.ok()) {
+            this->client.record_timeout(node);
+            this->schedule_next();
             return;
         }
-        this->decision.answer = *answer;
+        this->decision.answer = *reply;
         this->decision.member = node.value();
-        switch (answer->outcome) {
+        switch (reply->outcome) {
             case quota_outcome::granted:
                 this->decision.verdict = quota_verdict::granted;
                 this->finish();
                 return;
             case quota_outcome::refused:
-                this->note_refusal(*answer);
+                this->on_refusal(*reply);
                 return;
             case quota_outcome::not_counted_here:
-                this->go_on();
+                this->schedule_next();
                 return;
         }
     }
 
-    void note_refusal(const quota_answer& answer) {
-        const base::milliseconds wait{answer.retry_after_ms};
+    void on_refusal(const grant_reply& reply) {
+        const base::milliseconds wait{reply.retry_after_ms};
         const bool is_first = this->decision.verdict != quota_verdict::over_limit;
         this->decision.verdict = quota_verdict::over_limit;
         this->decision.retry_after = is_first ? wait : std::min(this->decision.retry_after, wait);
-        this->go_on();
+        this->schedule_next();
     }
 
-    /// From the loop, so that the call that ended is not replaced inside its own callback.
-    void go_on() {
-        this->next = this->client.loop.after(base::milliseconds{0}, [this] { this->ask_next(); });
+    /// Defers the next call to the event loop: a call must not be replaced inside its own callback.
+    void schedule_next() {
+        this->next_call =
+            this->client.loop.after(base::milliseconds{0}, [this] { this->call_next(); });
     }
 
     void finish() {
@@ -97,13 +99,13 @@
     }
 
     quota_client& client;
-    quota_question question;
+    quota_question request;
     std::vector<directory::storage_member> members;
-    std::size_t asked = 0;
+    std::size_t tried = 0;
     std::function<void(const quota_decision&)> done;
     quota_decision decision;
     std::unique_ptr<net::peer_call_handle> call;
-    std::unique_ptr<net::timer_handle> next;
+    std::unique_ptr<net::timer_handle> next_call;
 };
 
 quota_client::quota_client(net::event_loop& loop, const base::clock& clock,
@@ -113,32 +115,32 @@
 quota_client::~quota_client() = default;
 
 std::unique_ptr<turns::turn_operation> quota_client::ask(
-    quota_question question, std::function<void(const quota_decision&)> done) {
-    auto inquiry =
-        std::make_unique<quota_client::inquiry>(*this, std::move(question), std::move(done));
-    inquiry->start();
-    return inquiry;
+    quota_question request, std::function<void(const quota_decision&)> done) {
+    auto pending_request =
+        std::make_unique<quota_client::pending_request>(*this, std::move(request), std::move(done));
+    pending_request->start();
+    return pending_request;
 }
 
-/// A program begins with the same member each time, which so knows what is under way; members that
-/// have been silent of late come last.
-std::vector<directory::storage_member> quota_client::order_for(const quota_question& question) {
-    auto members = quota_members(this->view, question.tenant);
+/// Each program always starts with the same member, so that this member knows which programs are
+/// in progress. Members that timed out recently come last.
+std::vector<directory::storage_member> quota_client::member_order(const quota_question& request) {
+    auto members = quota_members(this->view, request.tenant);
     if (members.empty()) {
         return members;
     }
-    const auto first = static_cast<std::ptrdiff_t>(question.program % members.size());
+    const auto first = static_cast<std::ptrdiff_t>(request.program % members.size());
     std::rotate(members.begin(), members.begin() + first, members.end());
     const base::instant now = this->clock.now();
-    std::erase_if(this->silent_until, [now](const auto& item) { return item.second <= now; });
+    std::erase_if(this->unresponsive_until, [now](const auto& item) { return item.second <= now; });
     std::stable_partition(members.begin(), members.end(), [this](const auto& member) {
-        return this->silent_until.count(member.node) == 0;
+        return this->unresponsive_until.count(member.node) == 0;
     });
     return members;
 }
 
-void quota_client::note_silent(const base::node_id& node) {
-    this->silent_until[node] = this->clock.now() + this->options.avoid_silent;
+void quota_client::record_timeout(const base::node_id& node) {
+    this->unresponsive_until[node] = this->clock.now() + this->options.unresponsive_penalty;
 }
 
 }  // namespace pearbarrow::tenants
--- a/src/pearbarrow/tenants/quota_client.h
+++ b/src/pearbarrow/tenants/quota_client.h
@@ -1,4 +1,4 @@
-/// Asks the members that count a tenant whether a request of it may be sent.
+/// Requests grants for a tenant from the storage members that enforce its limit.
 #pragma once
 
 #include <cstdint>
@@ -18,37 +18,37 @@
 namespace pearbarrow::tenants {
 
 struct quota_client_options {
-    /// The question that members are asked.
+    /// Method that the client calls on members.
     net::method_number method = wire::tenant_quota;
-    /// A member that leaves a question unanswered for this long is passed over. Answers take 3 to
-    /// 8 ms between zones; a machine whose share of a core is spent stands still for up to 100 ms.
+    /// Timeout of one call, after which the client tries the next member. A reply between zones
+    /// takes 3 to 8 ms; a machine that exhausts its CPU quota stalls for up to 100 ms.
     base::milliseconds patience{120};
-    /// For how long it is then asked after the others.
-    base::milliseconds avoid_silent{1'000};
-    /// A grant is good for this long: it is asked for just before the request is sent. Members
-    /// count their windows longer by it (`quota_options`).
+    /// How long a member that timed out is tried after all others.
+    base::milliseconds unresponsive_penalty{1'000};
+    /// Lifetime of a grant, which a node requests just before it sends the request. Members extend
+    /// their windows by this time (`quota_options`).
     base::milliseconds grant_lifetime{200};
-    /// Bounds of the time told to callers beyond the limit.
+    /// Bounds of the retry delay that callers beyond the limit receive.
     base::milliseconds least_retry_after{100};
     base::milliseconds most_retry_after{5'000};
 };
 
 enum class quota_verdict {
     granted,
-    /// The tenant is at its limit.
+    /// The tenant has reached its limit.
     over_limit,
-    /// No member that counts the tenant answered.
+    /// No member that enforces the limit replied.
     unanswered,
 };
 
 std::string_view to_string(quota_verdict verdict);
 
-/// What came of a question, and by what it was decided.
+/// The result of a request for a grant, and the reply that decided it.
 struct quota_decision {
     quota_verdict verdict = quota_verdict::unanswered;
     base::milliseconds retry_after{0};
-    /// The last answer, and the member that gave it.
-    quota_answer answer;
+    /// The last reply, and the member that sent it.
+    grant_reply answer;
     std::string member;
 };
 
@@ -61,25 +61,25 @@
     quota_client& operator=(const quota_client&) = delete;
 
     void set_view(const directory::storage_view& view) { this->view = view; }
-    /// `done` runs once, never before this returns; the operation may not be destroyed inside it.
-    /// Destroying it before ends the question.
+    /// Calls `done` once, never before this function returns. The caller must not destroy the
+    /// operation inside `done`; destroying it earlier cancels the request.
     [[nodiscard]] std::unique_ptr<turns::turn_operation> ask(
-        quota_question question, std::function<void(const quota_decision&)> done);
+        quota_question request, std::function<void(const quota_decision&)> done);
     const quota_client_options& limits() const { return this->options; }
 
   private:
-    class inquiry;
+    class pending_request;
 
-    std::vector<directory::storage_member> order_for(const quota_question& question);
-    void note_silent(const base::node_id& node);
+    std::vector<directory::storage_member> member_order(const quota_question& request);
+    void record_timeout(const base::node_id& node);
 
     net::event_loop& loop;
     const base::clock& clock;
     turns::member_caller& caller;
     quota_client_options options;
     directory::storage_view view;
-    /// Members that left a question unanswered, until when they are asked last.
-    std::map<base::node_id, base::instant> silent_until;
+    /// Members that timed out, with the time until which they are tried last.
+    std::map<base::node_id, base::instant> unresponsive_until;
 };
 
 }  // namespace pearbarrow::tenants
--- a/src/pearbarrow/tenants/quota_ledger.cc
+++ b/src/pearbarrow/tenants/quota_ledger.cc
@@ -9,8 +9,8 @@
 namespace pearbarrow::tenants {
 namespace {
 
-/// Programs are looked through for idle ones once there are this many more than a second's grants.
-constexpr std::size_t least_programs_kept = 64;
+/// Idle programs are erased once there are this many more programs than grants per second.
+constexpr std::size_t min_programs_before_cleanup = 64;
 
 double seconds_of(base::milliseconds time) {
     return std::chrono::duration<double>(time).count();
@@ -47,8 +47,8 @@
     this->rebuild(now);
 }
 
-/// All tenants' shares are made here, not at a first question: an empty share is full again after
-/// burst / rate seconds, mostly before anybody asks.
+/// Creates the shares of all tenants, not only on a first request: an empty share is full again
+/// after burst / rate seconds, usually before the first request arrives.
 void quota_ledger::rebuild(base::instant now) {
     std::unordered_map<std::string, share> next;
     for (const directory::tenant& tenant : this->config.tenants) {
@@ -56,112 +56,121 @@
             continue;
         }
         const auto members = quota_members(this->view, tenant.name);
-        const bool counts = std::any_of(members.begin(), members.end(), [&](const auto& member) {
-            return member.node == this->options.self;
-        });
-        if (!counts) {
+        const bool is_responsible =
+            std::any_of(members.begin(), members.end(),
+                        [&](const auto& member) { return member.node == this->options.self; });
+        if (!is_responsible) {
             continue;
         }
-        const auto parts = static_cast<double>(members.size());
-        share& one = next[tenant.name];
-        one.left = this->options.at_start;
-        one.counts_since = now;
-        if (const auto held = this->shares.find(tenant.name); held != this->shares.end()) {
-            one = std::move(held->second);
-            fill(one, now);
+        const auto member_count = static_cast<double>(members.size());
+        share& tenant_share = next[tenant.name];
+        tenant_share.tokens = this->options.initial_tokens;
+        tenant_share.responsible_since = now;
+        if (const auto existing = this->shares.find(tenant.name); existing != this->shares.end()) {
+            tenant_share = std::move(existing->second);
+            refill(tenant_share, now);
         }
         const double window = seconds_of(this->options.window);
-        one.own_rate = tenant.rate / parts;
-        one.rate = one.own_rate + (window > 0 ? tenant.burst / parts / window : 0);
-        one.most = std::max(tenant.burst / parts + this->options.extra +
-                                one.own_rate * window * this->options.held_part,
-                            1.0);
-        one.left = std::min(one.left, one.most);
-        one.filled_at = now;
+        tenant_share.sustained_rate = tenant.rate / member_count;
+        tenant_share.rate =
+            tenant_share.sustained_rate + (window > 0 ? tenant.burst / member_count / window : 0);
+        tenant_share.capacity =
+            std::max(tenant.burst / member_count + this->options.extra +
+                         tenant_share.sustained_rate * window * this->options.held_part,
+                     1.0);
+        tenant_share.tokens = std::min(tenant_share.tokens, tenant_share.capacity);
+        tenant_share.refilled_at = now;
     }
     this->shares = std::move(next);
 }
 
-void quota_ledger::fill(share& one, base::instant now) {
-    one.left = std::min(one.most, one.left + one.rate * seconds_between(one.filled_at, now));
-    one.filled_at = now;
+void quota_ledger::refill(share& tenant_share, base::instant now) {
+    tenant_share.tokens = std::min(
+        tenant_share.capacity,
+        tenant_share.tokens + tenant_share.rate * seconds_between(tenant_share.refilled_at, now));
+    tenant_share.refilled_at = now;
 }
 
-/// What was granted before this member counted the tenant is taken as spread over the window, as it
-/// is of a tenant at its limit.
-double quota_ledger::room_in_window(share& one, base::instant now) const {
+/// Assumes that the grants from before this member became responsible for the tenant are spread
+/// evenly over the window, as they are for a tenant at its limit.
+double quota_ledger::window_remaining(share& tenant_share, base::instant now) const {
     if (this->options.window.count() == 0) {
         return std::numeric_limits<double>::infinity();
     }
     const double window = seconds_of(this->options.window);
-    const double counted = seconds_between(one.counts_since, now);
-    const double holds = (counted < window ? one.own_rate * counted + this->options.at_start
-                                           : one.rate * window + this->options.extra);
+    const double responsible_seconds = seconds_between(tenant_share.responsible_since, now);
+    const double allowed =
+        (responsible_seconds < window
+             ? tenant_share.sustained_rate * responsible_seconds + this->options.initial_tokens
+             : tenant_share.rate * window + this->options.extra);
     const auto span = this->options.window + this->options.grant_lifetime;
-    return holds - one.recent.within(span, now);
+    return allowed - tenant_share.recent.count_within(span, now);
 }
 
-void quota_ledger::forget_idle(share& one, base::instant now) const {
-    std::erase_if(one.programs, [&](const auto& program) {
-        return now - program.second > this->options.program_idle;
+void quota_ledger::erase_idle_programs(share& tenant_share, base::instant now) const {
+    std::erase_if(tenant_share.programs, [&](const auto& program) {
+        return now - program.second > this->options.program_idle_timeout;
     });
 }
 
-bool quota_ledger::is_under_way(const share& one, const quota_question& question) const {
-    return question.continues ||
-           (question.program != 0 && one.programs.count(question.program) > 0);
+bool quota_ledger::is_in_progress(const share& tenant_share, const quota_question& request) const {
+    return request.continues ||
+           (request.program != 0 && tenant_share.programs.count(request.program) > 0);
 }
 
-/// A new program leaves a part of the share to those that have begun. A request that belongs to no
-/// program is whole by itself.
-double quota_ledger::least_left(const share& one, const quota_question& question) const {
-    if (question.program == 0 || this->is_under_way(one, question)) {
+/// A new program leaves a part of the share to programs in progress. A request that belongs to no
+/// program may use the whole share.
+double quota_ledger::min_tokens_left(const share& tenant_share,
+                                     const quota_question& request) const {
+    if (request.program == 0 || this->is_in_progress(tenant_share, request)) {
         return 0;
     }
-    return (one.most - 1) * this->options.kept_for_programs;
+    return (tenant_share.capacity - 1) * this->options.reserved_for_programs;
 }
 
-std::uint32_t quota_ledger::wait_for(const share& one, double missing) {
-    return static_cast<std::uint32_t>(std::ceil(missing / one.rate * 1'000));
+std::uint32_t quota_ledger::retry_after_for(const share& tenant_share, double missing) {
+    return static_cast<std::uint32_t>(std::ceil(missing / tenant_share.rate * 1'000));
 }
 
-quota_answer quota_ledger::take(const quota_question& question, base::instant now) {
-    quota_answer answer{.config = this->config.version};
-    const auto found = this->shares.find(question.tenant);
+grant_reply quota_ledger::take(const quota_question& request, base::instant now) {
+    grant_reply reply{.config = this->config.version};
+    const auto found = this->shares.find(request.tenant);
     if (found == this->shares.end()) {
-        return answer;
+        return reply;
     }
-    share& one = found->second;
-    fill(one, now);
-    if (one.programs.size() > least_programs_kept + static_cast<std::size_t>(one.rate)) {
-        this->forget_idle(one, now);
+    share& tenant_share = found->second;
+    refill(tenant_share, now);
+    if (tenant_share.programs.size() >
+        min_programs_before_cleanup + static_cast<std::size_t>(tenant_share.rate)) {
+        this->erase_idle_programs(tenant_share, now);
     }
-    const double least = this->least_left(one, question);
-    answer.rate_hundredths = static_cast<std::uint32_t>(one.rate * 100);
-    answer.in_window = one.recent.within(this->options.window, now);
-    answer.programs = static_cast<std::uint32_t>(one.programs.size());
-    const double room = this->room_in_window(one, now);
-    if (one.left - 1 < least || room < 1) {
+    const double min_left = this->min_tokens_left(tenant_share, request);
+    reply.rate_hundredths = static_cast<std::uint32_t>(tenant_share.rate * 100);
+    reply.in_window = tenant_share.recent.count_within(this->options.window, now);
+    reply.programs = static_cast<std::uint32_t>(tenant_share.programs.size());
+    const double remaining = this->window_remaining(tenant_share, now);
+    if (tenant_share.tokens - 1 < min_left || remaining < 1) {
         ++this->refused_total;
-        answer.outcome = quota_outcome::refused;
-        answer.retry_after_ms = wait_for(one, std::max(least - (one.left - 1), 1 - room));
+        reply.outcome = quota_outcome::refused;
+        reply.retry_after_ms = retry_after_for(
+            tenant_share, std::max(min_left - (tenant_share.tokens - 1), 1 - remaining));
     } else {
         ++this->granted_total;
-        one.left -= 1;
-        one.recent.note(now);
-        answer.outcome = quota_outcome::granted;
-        if (question.program != 0) {
-            one.programs[question.program] = now;
+        tenant_share.tokens -= 1;
+        tenant_share.recent.record(now);
+        reply.outcome = quota_outcome::granted;
+        if (request.program != 0) {
+            tenant_share.programs[request.program] = now;
         }
     }
-    answer.left = static_cast<std::int32_t>(std::floor(one.left));
-    return answer;
+    reply.left = static_cast<std::int32_t>(std::floor(tenant_share.tokens));
+    return reply;
 }
 
 std::size_t quota_ledger::program_count() const {
     std::size_t count = 0;
-    for (const auto& [tenant, one] : this->shares) {
-        count += one.programs.size();
+    for (const auto& [tenant, tenant_share] : this->shares) {
+        count += tenant_share.programs.size();
     }
     return count;
 }
--- a/src/pearbarrow/tenants/quota_ledger.h
+++ b/src/pearbarrow/tenants/quota_ledger.h
@@ -1,13 +1,14 @@
-/// One member's count of tenants' limits.
+/// Enforces a storage member's share of each tenant's limit.
 ///
-/// A pure state machine. A tenant's limit is divided evenly among the members that count it
-/// (`quota_members`), and each grants from its own share without asking anybody: what all of them
-/// grant together never passes the limit, whoever is cut off, paused or dead. A share is a token
-/// bucket and a count of the last window. A member that has just started, or has just come to count
-/// a tenant, begins with both as good as used up, since it does not know what was granted before.
+/// A pure state machine. A tenant's limit is divided evenly among the members that enforce it
+/// (`quota_members`), and each grants from its own share without coordination. All of them together
+/// therefore never exceed the limit, even if some are partitioned, paused or dead. A share is a
+/// token bucket and a count of the grants in the last window. A member that has just started, or
+/// has just become responsible for a tenant, starts with both nearly exhausted, since it does not
+/// know what was granted before.
 ///
 /// Invariant: in any window w a member grants a tenant at most (rate x w + burst) / n + extra
-/// requests, n members counting the tenant.
+/// requests, where n is the number of members that enforce the limit.
 #pragma once
 
 #include <cstdint>
@@ -24,27 +25,28 @@
 
 struct quota_options {
     base::node_id self;
-    /// Requests that a share holds beyond its part of the burst. Three members with 4 each use 12
-    /// of a slack of 20 requests a window: a tenant of few requests a second sends them in clumps.
+    /// Tokens that a share holds beyond its part of the burst, since a tenant with few requests per
+    /// second sends them in bursts. Three members with 4 each use 12 of a slack of 20 requests per
+    /// window.
     double extra = 4;
-    /// Of these, what a member that begins to count a tenant has at once.
-    double at_start = 1;
-    /// The operator counts requests in windows of this length, each of which may hold the rate
-    /// times the window and the burst: what a share gains a second is a part of that. 0: the rate
-    /// alone.
+    /// How many of the extra tokens a member has when it becomes responsible for a tenant.
+    double initial_tokens = 1;
+    /// Length of the windows in which the operator counts requests. Each window allows the rate
+    /// times its length plus the burst, and a share refills at its part of that. With 0 a share
+    /// refills at its part of the rate alone.
     base::milliseconds window{0};
-    /// Part of the window whose rate a share holds besides the burst: programs send in clumps. With
-    /// it, and with all members asked before a refusal, 0.021 of a calm day was refused, 0.040
-    /// before. With twice as much a tenant that comes with a burst just before all members are
-    /// killed passes its limit by what they grant after (calculated).
+    /// Fraction of the window whose rate a share holds besides the burst, since programs send in
+    /// bursts. Together with trying all members before a refusal, it lowers the refused requests of
+    /// a normal day from 0.040 to 0.021. With twice this fraction, a tenant that sends a burst just
+    /// before all members are killed exceeds its limit by what they grant after their restart.
     double held_part = 0.2;
-    /// Grants of the window before may be used this late.
+    /// How long after it was issued a grant of the previous window may be used.
     base::milliseconds grant_lifetime{200};
-    /// Part of a share that is left to programs under way: a program that is refused midway has
-    /// wasted all that it took.
-    double kept_for_programs = 0.3;
-    /// A program that has asked for nothing for this long is over, or idle.
-    base::milliseconds program_idle{3'000};
+    /// Fraction of a share that is reserved for programs in progress. A program that is refused
+    /// midway has wasted all requests that it has used.
+    double reserved_for_programs = 0.3;
+    /// A program without a request for this long counts as finished or idle.
+    base::milliseconds program_idle_timeout{3'000};
 };
 
 class quota_ledger {
@@ -53,7 +55,7 @@
 
     void set_view(const directory::storage_view& view, base::instant now);
     void set_configuration(const directory::configuration& config, base::instant now);
-    quota_answer take(const quota_question& question, base::instant now);
+    grant_reply take(const quota_question& request, base::instant now);
 
     std::size_t tenant_count() const { return this->shares.size(); }
     std::size_t program_count() const;
@@ -61,32 +63,32 @@
     std::uint64_t refused() const { return this->refused_total; }
 
   private:
-    /// This member's part of a tenant's limit.
+    /// The part of a tenant's limit that this member enforces.
     struct share {
-        /// A second.
+        /// Tokens per second, including the part of the burst.
         double rate = 0;
-        /// Without the burst's part.
-        double own_rate = 0;
-        /// Most that it holds: its part of the burst and of the window's rate, and the extra.
-        double most = 0;
-        double left = 0;
-        base::instant filled_at;
-        /// Since when this member has counted the tenant.
-        base::instant counts_since;
+        /// Tokens per second, without the part of the burst.
+        double sustained_rate = 0;
+        /// Maximum of `tokens`: the part of the burst and of the window's rate, and the extra.
+        double capacity = 0;
+        double tokens = 0;
+        base::instant refilled_at;
+        /// When this member became responsible for the tenant.
+        base::instant responsible_since;
         recent_grants recent;
-        /// By program: when it last asked.
+        /// Time of the last grant of each program.
         std::unordered_map<std::uint64_t, base::instant> programs;
     };
 
     void rebuild(base::instant now);
-    static void fill(share& one, base::instant now);
-    /// Requests that the window of the moment still holds.
-    double room_in_window(share& one, base::instant now) const;
-    void forget_idle(share& one, base::instant now) const;
-    bool is_under_way(const share& one, const quota_question& question) const;
-    /// What must be left of the share once the request is granted.
-    double least_left(const share& one, const quota_question& question) const;
-    static std::uint32_t wait_for(const share& one, double missing);
+    static void refill(share& tenant_share, base::instant now);
+    /// Requests that the current window still allows.
+    double window_remaining(share& tenant_share, base::instant now) const;
+    void erase_idle_programs(share& tenant_share, base::instant now) const;
+    bool is_in_progress(const share& tenant_share, const quota_question& request) const;
+    /// Tokens that must be left in the share after the request is granted.
+    double min_tokens_left(const share& tenant_share, const quota_question& request) const;
+    static std::uint32_t retry_after_for(const share& tenant_share, double missing);
 
     quota_options options;
     directory::storage_view view;
--- a/src/pearbarrow/tenants/quota_members.h
+++ b/src/pearbarrow/tenants/quota_members.h
@@ -1,4 +1,4 @@
-/// Which storage members count a tenant's requests.
+/// Selects the storage members that enforce a tenant's limit.
 #pragma once
 
 #include <string_view>
@@ -8,14 +8,16 @@
 
 namespace pearbarrow::tenants {
 
-/// Members that share the count of one tenant. With three, two others go on granting two thirds of
-/// the limit while one is down, which holds a tenant that uses up to that much (a sheet with limits
-/// of 1.6 times the usual use has 62 %). A tenant at its limit asks them all.
+/// Number of members that enforce the limit of one tenant. With three, the other two still grant
+/// two thirds of the limit while one is down, which suffices for a tenant that uses no more than
+/// that: limits of 1.6 times the usual use mean a use of 62 %. A tenant at its limit sends requests
+/// to all of them.
 constexpr std::size_t quota_shares = 3;
 
-/// The members that count the tenant, in an order that all nodes with the same view agree on. Of as
-/// many zones as there are: where there are three, the loss of one leaves two members.
-/// Fewer than `quota_shares` only where the view has fewer that stay.
+/// Returns the members that enforce the tenant's limit, in an order on which all nodes with the
+/// same view agree. The members are in as many zones as possible: with three zones, the loss of one
+/// leaves two members. Returns fewer than `quota_shares` only if the view has fewer members that
+/// are not retiring.
 std::vector<directory::storage_member> quota_members(const directory::storage_view& view,
                                                      std::string_view tenant);
 
--- a/src/pearbarrow/tenants/quota_service.h
+++ b/src/pearbarrow/tenants/quota_service.h
@@ -1,4 +1,4 @@
-/// Answers other nodes' questions about limits on a storage member.
+/// Serves requests for grants from other nodes on a storage member.
 #pragma once
 
 #include "pearbarrow/base/clock.h"
--- a/src/pearbarrow/tenants/quota_types.h
+++ b/src/pearbarrow/tenants/quota_types.h
@@ -1,4 +1,4 @@
-/// Questions about a tenant's limit, and the answers of the members that count it.
+/// Requests for grants under a tenant's limit, and the replies of the members that enforce it.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 namespace pearbarrow::tenants {
 
-/// "May this request of the tenant be sent now?"
+/// Requests a grant to send one request of the tenant.
 struct quota_question {
     std::string tenant;
-    /// Names the program among the tenant's; 0: the request belongs to none.
+    /// Identifies the program within the tenant. 0 if the request belongs to no program.
     std::uint64_t program = 0;
-    /// The request is certain to go on with a program that has begun.
+    /// Whether the request is known to continue a program in progress.
     bool continues = false;
 
     MSGPACK_DEFINE(tenant, program, continues);
@@ -21,21 +21,22 @@
 
 enum class quota_outcome : std::uint8_t {
     granted,
-    /// The tenant is at its limit.
+    /// The tenant has reached its limit.
     refused,
-    /// The answering member does not count this tenant: it knows another view or configuration.
+    /// The replying member does not enforce this tenant's limit: its view or configuration differs.
     not_counted_here,
 };
 
-struct quota_answer {
+struct grant_reply {
     quota_outcome outcome = quota_outcome::not_counted_here;
-    /// Until the member can grant such a request, if nothing else is granted. Milliseconds.
+    /// Time until the member can grant such a request if it grants no other.
     std::uint32_t retry_after_ms = 0;
-    /// What the decision went by, for logs: requests left in the member's share, the programs that
-    /// it saw under way, the configuration.
+    /// State behind the decision, for logs: the requests left in the member's share, the programs
+    /// in progress that it knows, the version of the configuration.
     std::int32_t left = 0;
     std::uint32_t programs = 0;
-    /// What the share gains a second, in hundredths, and what was granted in its last window.
+    /// Refill rate of the share, in hundredths of a request per second, and the grants in its last
+    /// window.
     std::uint32_t rate_hundredths = 0;
     std::uint32_t in_window = 0;
     std::uint64_t config = 0;
--- a/src/pearbarrow/tenants/recent_grants.h
+++ b/src/pearbarrow/tenants/recent_grants.h
@@ -1,4 +1,4 @@
-/// How many grants were given of late.
+/// Counts the grants of a sliding window.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 namespace pearbarrow::tenants {
 
-/// Counts in slots of 50 ms, so that a window takes the same memory at any rate.
+/// Counts grants in slots of 50 ms, so that a window takes the same memory at any rate.
 class recent_grants {
   public:
-    void note(base::instant now) {
+    void record(base::instant now) {
         const std::int64_t slot = slot_of(now);
         if (this->slots.empty() || this->slots.back().number != slot) {
             this->slots.push_back({slot, 0});
@@ -20,8 +20,8 @@
         ++this->total;
     }
 
-    /// Grants within `window` before now, the slot at its edge included.
-    std::uint32_t within(base::microseconds window, base::instant now) {
+    /// Returns the grants of the last `window`, including the slot at its edge.
+    std::uint32_t count_within(base::microseconds window, base::instant now) {
         const std::int64_t oldest = slot_of(now - window);
         while (!this->slots.empty() && this->slots.front().number < oldest) {
             this->total -= this->slots.front().count;
--- a/src/pearbarrow/tenants/tenant_table.cc
+++ b/src/pearbarrow/tenants/tenant_table.cc
@@ -7,20 +7,20 @@
 namespace pearbarrow::tenants {
 namespace {
 
-/// Longer keys belong to nobody: a digest of megabytes would be work that anybody can ask for.
+/// Longer keys are rejected, so that no caller can make the process hash megabytes.
 constexpr std::size_t max_key_bytes = 512;
 
-/// A caller does not choose the digest of a key that it tries, so what a look-up by the digest's
-/// first bytes takes tells nothing about the keys that there are.
+/// A caller cannot choose the digest of the key that it presents, so the duration of a lookup by
+/// the first bytes of the digest reveals nothing about the configured keys.
 std::uint64_t prefix_of(std::string_view digest) {
     std::uint64_t prefix = 0;
     std::memcpy(&prefix, digest.data(), std::min(sizeof(prefix), digest.size()));
     return prefix;
 }
 
-bool holds(const directory::tenant& tenant, std::string_view digest) {
-    for (const std::string& own : tenant.key_digests) {
-        if (base::equal_in_constant_time(own, digest)) {
+bool has_key(const directory::tenant& tenant, std::string_view digest) {
+    for (const std::string& key_digest : tenant.key_digests) {
+        if (base::equal_in_constant_time(key_digest, digest)) {
             return true;
         }
     }
@@ -30,7 +30,7 @@
 }  // namespace
 
 tenant_table::tenant_table(const directory::configuration& config)
-    : needed(config.has_tenants), tenants(config.tenants) {
+    : keys_required(config.has_tenants), tenants(config.tenants) {
     for (std::size_t index = 0; index < this->tenants.size(); ++index) {
         this->by_name.emplace(this->tenants[index].name, index);
         for (const std::string& digest : this->tenants[index].key_digests) {
@@ -38,7 +38,7 @@
             if (holder == nullptr) {
                 this->by_prefix.emplace(prefix_of(digest), index);
             } else if (holder != &this->tenants[index]) {
-                this->shared.push_back({holder->name, this->tenants[index].name});
+                this->duplicates.push_back({holder->name, this->tenants[index].name});
             }
         }
     }
@@ -60,7 +60,7 @@
     const auto [first, last] = this->by_prefix.equal_range(prefix_of(digest));
     for (auto at = first; at != last; ++at) {
         const directory::tenant& candidate = this->tenants[at->second];
-        if (holds(candidate, digest)) {
+        if (has_key(candidate, digest)) {
             return &candidate;
         }
     }
--- a/src/pearbarrow/tenants/tenant_table.h
+++ b/src/pearbarrow/tenants/tenant_table.h
@@ -1,4 +1,4 @@
-/// Finds the tenant of a key.
+/// Looks up the tenant of a key.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace pearbarrow::tenants {
 
-/// Two tenants that name the same key; the first one has it.
+/// A key that is configured for two tenants. It identifies the first of them.
 struct shared_key {
     std::string holder;
     std::string other;
@@ -22,23 +22,23 @@
     tenant_table() = default;
     explicit tenant_table(const directory::configuration& config);
 
-    /// Whether requests need a key at all.
-    bool is_needed() const { return this->needed; }
-    /// The tenant that holds the key; null when none does. Valid while the table lives.
+    /// Returns whether requests need a key.
+    bool is_needed() const { return this->keys_required; }
+    /// Returns the tenant of the key, or null if there is none. Valid while the table exists.
     const directory::tenant* find(std::string_view key) const;
     const directory::tenant* find_by_digest(std::string_view digest) const;
-    /// The tenant of that name; null when there is none. Valid while the table lives.
+    /// Returns the tenant of that name, or null if there is none. Valid while the table exists.
     const directory::tenant* find_by_name(const std::string& name) const;
-    const std::vector<shared_key>& shared_keys() const { return this->shared; }
+    const std::vector<shared_key>& shared_keys() const { return this->duplicates; }
 
   private:
-    bool needed = false;
+    bool keys_required = false;
     std::vector<directory::tenant> tenants;
-    /// Index in `tenants` by the first bytes of a digest.
+    /// Indices in `tenants` by the first bytes of a key digest.
     std::unordered_multimap<std::uint64_t, std::size_t> by_prefix;
-    /// Index in `tenants`.
+    /// Indices in `tenants` by name.
     std::unordered_map<std::string, std::size_t> by_name;
-    std::vector<shared_key> shared;
+    std::vector<shared_key> duplicates;
 };
 
 }  // namespace pearbarrow::tenants
--- a/tests/unit/slowstart/start_quota_test.cc
+++ b/tests/unit/slowstart/start_quota_test.cc
@@ -33,7 +33,7 @@
         return nullptr;
     }
 
-    std::optional<tenants::quota_answer> answer;
+    std::optional<tenants::grant_reply> answer;
     int calls = 0;
     net::method_number method = 0;
     tenants::quota_question question;
--- a/tests/unit/tenants/quota_client_test.cc
+++ b/tests/unit/tenants/quota_client_test.cc
@@ -18,27 +18,27 @@
 
 namespace {
 
-/// Members that answer as the test says, at once; one without an answer fails.
+/// Replies at once with the reply configured for a member, or fails if there is none.
 class scripted_caller final : public turns::member_caller {
   public:
     std::unique_ptr<net::peer_call_handle> call(const directory::storage_member& member,
                                                 net::method_number /*method*/, std::string payload,
                                                 base::milliseconds /*timeout*/,
                                                 reply_handler on_reply) override {
-        this->asked.push_back(member.node);
-        this->questions.push_back(*wire::decode<quota_question>(payload));
-        const auto answer = this->answers.find(member.node);
-        if (answer == this->answers.end()) {
+        this->called_members.push_back(member.node);
+        this->requests.push_back(*wire::decode<quota_question>(payload));
+        const auto reply = this->replies.find(member.node);
+        if (reply == this->replies.end()) {
             on_reply(base::make_error(absl::StatusCode::kDeadlineExceeded, "silent", {}));
         } else {
-            on_reply(wire::encode(answer->second));
+            on_reply(wire::encode(reply->second));
         }
         return nullptr;
     }
 
-    std::map<base::node_id, quota_answer> answers;
-    std::vector<base::node_id> asked;
-    std::vector<quota_question> questions;
+    std::map<base::node_id, grant_reply> replies;
+    std::vector<base::node_id> called_members;
+    std::vector<quota_question> requests;
 };
 
 struct client_fixture {
@@ -46,16 +46,16 @@
 
     quota_decision ask(std::uint64_t program = 0) {
         std::optional<quota_decision> decision;
-        this->caller.asked.clear();
-        const auto step =
-            this->client.ask({"shop", program, false}, [&](const auto& made) { decision = made; });
-        cr_assert(!decision.has_value(), "never before the call returns");
+        this->caller.called_members.clear();
+        const auto operation = this->client.ask({"shop", program, false},
+                                                [&](const auto& result) { decision = result; });
+        cr_assert(!decision.has_value(), "done was called before ask returned");
         cr_assert(run_until(this->loop, [&] { return decision.has_value(); }));
         return *decision;
     }
-    void all_answer(const quota_answer& answer) {
+    void set_all_replies(const grant_reply& reply) {
         for (const auto& member : view_of_three().members) {
-            this->caller.answers[member.node] = answer;
+            this->caller.replies[member.node] = reply;
         }
     }
 
@@ -67,63 +67,64 @@
 
 }  // namespace
 
-Test(quota_client, one_member_that_grants_is_enough) {
+Test(quota_client, grant_from_one_member_is_sufficient) {
     client_fixture fixture;
-    fixture.all_answer({.outcome = quota_outcome::granted});
+    fixture.set_all_replies({.outcome = quota_outcome::granted});
     cr_assert(fixture.ask().verdict == quota_verdict::granted);
-    cr_assert(fixture.caller.asked.size() == 1);
+    cr_assert(fixture.caller.called_members.size() == 1);
 }
 
-Test(quota_client, a_program_begins_with_the_same_member_each_time) {
+Test(quota_client, program_starts_with_the_same_member_each_time) {
     client_fixture fixture;
-    fixture.all_answer({.outcome = quota_outcome::granted});
+    fixture.set_all_replies({.outcome = quota_outcome::granted});
     fixture.ask(4);
-    const base::node_id first = fixture.caller.asked.front();
+    const base::node_id first = fixture.caller.called_members.front();
     fixture.ask(5);
-    cr_assert(fixture.caller.asked.front() != first);
+    cr_assert(fixture.caller.called_members.front() != first);
     fixture.ask(4);
-    cr_assert(fixture.caller.asked.front() == first);
+    cr_assert(fixture.caller.called_members.front() == first);
 }
 
-Test(quota_client, a_refusal_counts_once_every_member_has_refused) {
+Test(quota_client, request_is_over_limit_after_all_members_refused) {
     client_fixture fixture;
-    fixture.all_answer({.outcome = quota_outcome::refused, .retry_after_ms = 700});
+    fixture.set_all_replies({.outcome = quota_outcome::refused, .retry_after_ms = 700});
     const quota_decision decision = fixture.ask();
     cr_assert(decision.verdict == quota_verdict::over_limit);
     cr_assert(decision.retry_after == base::milliseconds{700});
-    cr_assert(fixture.caller.asked.size() == 3);
+    cr_assert(fixture.caller.called_members.size() == 3);
 }
 
-Test(quota_client, a_silent_member_is_passed_over_and_then_asked_last) {
+Test(quota_client, unresponsive_member_is_skipped_and_then_tried_last) {
     client_fixture fixture;
     const auto order = quota_members(view_of_three(), "shop");
-    fixture.all_answer({.outcome = quota_outcome::granted});
-    fixture.caller.answers.erase(order[0].node);
+    fixture.set_all_replies({.outcome = quota_outcome::granted});
+    fixture.caller.replies.erase(order[0].node);
     cr_assert(fixture.ask().verdict == quota_verdict::granted);
-    cr_assert(fixture.caller.asked.size() == 2);
+    cr_assert(fixture.caller.called_members.size() == 2);
     cr_assert(fixture.ask().verdict == quota_verdict::granted);
-    cr_assert(fixture.caller.asked.size() == 1 && fixture.caller.asked[0] != order[0].node);
+    cr_assert(fixture.caller.called_members.size() == 1 &&
+              fixture.caller.called_members[0] != order[0].node);
 }
 
-Test(quota_client, without_an_answer_nothing_is_guessed) {
+Test(quota_client, request_without_reply_is_unanswered) {
     client_fixture fixture;
     cr_assert(fixture.ask().verdict == quota_verdict::unanswered);
-    cr_assert(fixture.caller.asked.size() == 3);
+    cr_assert(fixture.caller.called_members.size() == 3);
     fixture.client.set_view({});
     cr_assert(fixture.ask().verdict == quota_verdict::unanswered);
 }
 
-Test(quota_client, members_that_do_not_count_the_tenant_decide_nothing) {
+Test(quota_client, not_counted_here_is_no_decision) {
     client_fixture fixture;
-    fixture.all_answer({.outcome = quota_outcome::not_counted_here});
+    fixture.set_all_replies({.outcome = quota_outcome::not_counted_here});
     cr_assert(fixture.ask().verdict == quota_verdict::unanswered);
 }
 
-Test(quota_client, an_operation_that_is_destroyed_never_calls_back) {
+Test(quota_client, destroyed_operation_never_calls_back) {
     client_fixture fixture;
-    fixture.all_answer({.outcome = quota_outcome::granted});
+    fixture.set_all_replies({.outcome = quota_outcome::granted});
     bool called = false;
     fixture.client.ask({"shop", 0, false}, [&](const auto&) { called = true; }).reset();
     net::testing::run_for(fixture.loop, std::chrono::milliseconds(5));
-    cr_assert(!called && fixture.caller.asked.empty());
+    cr_assert(!called && fixture.caller.called_members.empty());
 }
--- a/tests/unit/tenants/quota_members_test.cc
+++ b/tests/unit/tenants/quota_members_test.cc
@@ -1,4 +1,4 @@
-// Which members count a tenant's requests, where a zone may be lost.
+// Tests which members enforce a tenant's limit. A tenant must keep members when a zone fails.
 #include "pearbarrow/tenants/quota_members.h"
 
 #include <algorithm>
@@ -55,18 +55,19 @@
     }
 }
 
-Test(quota_members, one_that_leaves_changes_nothing_for_tenants_that_it_does_not_count) {
+Test(quota_members, leaving_member_does_not_affect_tenants_of_other_members) {
     const auto before = view_of({{"a", 4}, {"b", 4}, {"c", 3}});
     auto after = before;
-    const base::node_id gone = before.members[5].node;
+    const base::node_id removed = before.members[5].node;
     after.members.erase(after.members.begin() + 5);
-    int counted = 0;
+    int responsible_count = 0;
     for (int tenant = 0; tenant < 300; ++tenant) {
         const auto members = quota_members(before, tenant_name(tenant));
-        const bool counts = std::any_of(members.begin(), members.end(),
-                                        [&](const auto& member) { return member.node == gone; });
-        counted += counts ? 1 : 0;
-        cr_assert(counts || quota_members(after, tenant_name(tenant)) == members);
+        const bool is_responsible =
+            std::any_of(members.begin(), members.end(),
+                        [&](const auto& member) { return member.node == removed; });
+        responsible_count += is_responsible ? 1 : 0;
+        cr_assert(is_responsible || quota_members(after, tenant_name(tenant)) == members);
     }
-    cr_assert(counted > 30 && counted < 200, "%d", counted);
+    cr_assert(responsible_count > 30 && responsible_count < 200, "%d", responsible_count);
 }
--- a/tests/unit/tenants/tenant_table_test.cc
+++ b/tests/unit/tenants/tenant_table_test.cc
@@ -27,8 +27,8 @@
     return config;
 }
 
-identity ask(const directory::configuration& config, std::size_t count, std::string_view key,
-             bool is_public = false) {
+identity identify_caller(const directory::configuration& config, std::size_t count,
+                         std::string_view key, bool is_public = false) {
     static tenant_table table;
     table = tenant_table(config);
     directory::route route;
@@ -47,14 +47,14 @@
     }
 }
 
-Test(tenant_table, a_key_at_two_tenants_is_the_first_ones_and_is_told) {
+Test(tenant_table, key_of_two_tenants_belongs_to_the_first_and_is_reported) {
     const tenant_table table(two_tenants());
     cr_assert(table.find("shared")->name == "a");
     cr_assert(table.shared_keys().size() == 1);
     cr_assert(table.shared_keys()[0].holder == "a" && table.shared_keys()[0].other == "b");
 }
 
-Test(tenant_table, a_digest_is_not_a_key) {
+Test(tenant_table, digest_is_not_accepted_as_key) {
     const tenant_table table(two_tenants());
     cr_assert(table.find(base::sha256("key-of-a")) == nullptr);
     cr_assert(table.find(std::string(std::size_t{1024} * 1024, 'x')) == nullptr);
@@ -62,47 +62,49 @@
     cr_assert(table.find("\xff\xfe") == nullptr);
 }
 
-Test(tenant_table, digests_that_begin_alike_are_told_apart) {
+Test(tenant_table, digests_with_equal_prefix_are_distinguished) {
     directory::configuration config = two_tenants();
-    std::string twin = base::sha256("key-of-a");
-    twin.back() = static_cast<char>(twin.back() ^ 1);
-    config.tenants.push_back({.name = "c", .key_digests = {twin}});
+    std::string similar_digest = base::sha256("key-of-a");
+    similar_digest.back() = static_cast<char>(similar_digest.back() ^ 1);
+    config.tenants.push_back({.name = "c", .key_digests = {similar_digest}});
     const tenant_table table(config);
     cr_assert(table.find("key-of-a")->name == "a");
-    cr_assert(table.find_by_digest(twin)->name == "c");
+    cr_assert(table.find_by_digest(similar_digest)->name == "c");
 }
 
-Test(caller_identity, without_tenants_every_request_is_nobodys) {
-    const identity caller = ask({}, 1, "anything");
+Test(caller_identity, without_tenants_requests_are_accepted_without_tenant) {
+    const identity caller = identify_caller({}, 1, "anything");
     cr_assert(caller.verdict == identity_verdict::accepted && caller.tenant == nullptr);
 }
 
-Test(caller_identity, a_key_says_whose_request_it_is) {
-    const identity caller = ask(two_tenants(), 1, "key-of-b");
+Test(caller_identity, key_identifies_the_tenant) {
+    const identity caller = identify_caller(two_tenants(), 1, "key-of-b");
     cr_assert(caller.verdict == identity_verdict::accepted && caller.tenant->name == "b");
 }
 
-Test(caller_identity, each_bad_key_has_its_reason) {
-    cr_assert(ask(two_tenants(), 0, "").verdict == identity_verdict::missing_key);
-    cr_assert(ask(two_tenants(), 1, "").verdict == identity_verdict::missing_key);
-    cr_assert(ask(two_tenants(), 1, "key-of-c").verdict == identity_verdict::unknown_key);
-    cr_assert(ask(two_tenants(), 2, "key-of-a").verdict == identity_verdict::several_keys);
+Test(caller_identity, each_invalid_key_has_its_verdict) {
+    cr_assert(identify_caller(two_tenants(), 0, "").verdict == identity_verdict::missing_key);
+    cr_assert(identify_caller(two_tenants(), 1, "").verdict == identity_verdict::missing_key);
+    cr_assert(identify_caller(two_tenants(), 1, "key-of-c").verdict ==
+              identity_verdict::unknown_key);
+    cr_assert(identify_caller(two_tenants(), 2, "key-of-a").verdict ==
+              identity_verdict::several_keys);
 }
 
-Test(caller_identity, tenants_of_which_none_has_a_key_let_nobody_in) {
+Test(caller_identity, no_key_is_accepted_if_no_tenant_has_one) {
     directory::configuration config;
     config.has_tenants = true;
-    cr_assert(ask(config, 1, "key-of-a").verdict == identity_verdict::unknown_key);
+    cr_assert(identify_caller(config, 1, "key-of-a").verdict == identity_verdict::unknown_key);
     config.tenants.push_back(tenant_with("a", {}));
-    cr_assert(ask(config, 1, "key-of-a").verdict == identity_verdict::unknown_key);
+    cr_assert(identify_caller(config, 1, "key-of-a").verdict == identity_verdict::unknown_key);
 }
 
-Test(caller_identity, a_public_route_needs_no_key_and_takes_one) {
-    const identity nobody = ask(two_tenants(), 0, "", true);
-    cr_assert(nobody.verdict == identity_verdict::accepted && nobody.tenant == nullptr);
-    const identity unknown = ask(two_tenants(), 1, "key-of-c", true);
+Test(caller_identity, key_is_optional_on_a_public_route) {
+    const identity anonymous = identify_caller(two_tenants(), 0, "", true);
+    cr_assert(anonymous.verdict == identity_verdict::accepted && anonymous.tenant == nullptr);
+    const identity unknown = identify_caller(two_tenants(), 1, "key-of-c", true);
     cr_assert(unknown.verdict == identity_verdict::accepted && unknown.tenant == nullptr);
-    cr_assert(ask(two_tenants(), 1, "key-of-a", true).tenant->name == "a");
+    cr_assert(identify_caller(two_tenants(), 1, "key-of-a", true).tenant->name == "a");
 }
 
 Test(caller_identity, ids_of_two_tenants_never_meet) {
