--- a/src/pearbarrow/slowstart/cold_table.cc
+++ b/src/pearbarrow/slowstart/cold_table.cc
@@ -16,111 +16,114 @@
 }
 
 void cold_table::set_backends(const directory::backend_list& list, base::instant now) {
-    directory::backend_changes step{.revision = list.revision};
-    for (const auto& [id, one] : this->states) {
-        if (one.listed && list.backends.count(id) == 0) {
-            step.gone.push_back(id);
+    directory::backend_changes changes{.revision = list.revision};
+    for (const auto& [id, entry] : this->states) {
+        if (entry.listed && list.backends.count(id) == 0) {
+            changes.gone.push_back(id);
         }
     }
     for (const auto& [id, backend] : list.backends) {
-        step.present.push_back(backend);
+        changes.present.push_back(backend);
     }
-    this->apply(step, now);
+    this->apply(changes, now);
 }
 
-void cold_table::apply(const directory::backend_changes& step, base::instant now) {
-    for (const std::string& id : step.gone) {
+void cold_table::apply(const directory::backend_changes& changes, base::instant now) {
+    for (const std::string& id : changes.gone) {
         const auto found = this->states.find(id);
         if (found != this->states.end() && std::exchange(found->second.listed, false)) {
             found->second.vanished_at = now;
             this->departed.emplace_back(now, id);
         }
     }
-    for (const directory::backend& backend : step.present) {
-        this->take(backend, now);
+    for (const directory::backend& backend : changes.present) {
+        this->apply_backend(backend, now);
     }
-    this->forget_departed(now);
+    this->erase_departed(now);
 }
 
-void cold_table::forget_departed(base::instant now) {
-    while (!this->departed.empty() && now - this->departed.front().first > this->options.memory) {
+void cold_table::erase_departed(base::instant now) {
+    while (!this->departed.empty() &&
+           now - this->departed.front().first > this->options.retention) {
         const auto found = this->states.find(this->departed.front().second);
         if (found != this->states.end() && !found->second.listed &&
-            now - found->second.vanished_at > this->options.memory) {
+            now - found->second.vanished_at > this->options.retention) {
             this->states.erase(found);
         }
         this->departed.pop_front();
     }
 }
 
-/// A time left is counted from when it was heard, and what was said before is not taken back: news
-/// come a second late and more, and a "warm" may be older than the start that is suspected. The
-/// price is that permits are asked for somewhat longer than needed.
-void cold_table::take(const directory::backend& backend, base::instant now) {
-    state& one = this->states[backend.id];
-    const bool is_back = !one.listed;
-    const bool has_started = one.started_at != backend.started_at;
-    // All of a node's first list too: where a tenth of the nodes had just started and took each
-    // entry at its word, 3 of 200 simulated fleets passed the bound (57 in a second of 53).
-    if (is_back || has_started) {
-        one.suspected_at = now;
-    }
-    if (is_back || has_started || one.cold_left_ms != backend.cold_left_ms) {
-        one.cold_until = std::max(one.cold_until, now + base::milliseconds{backend.cold_left_ms});
-    }
-    one.service = backend.service;
-    one.zone = backend.zone;
-    one.started_at = backend.started_at;
-    one.cold_left_ms = backend.cold_left_ms;
-    one.listed = true;
+/// A remaining cold time counts from its receipt, and a later report does not shorten an earlier
+/// one: updates arrive a second late or more, and a report of a warm back end may be older than the
+/// suspected start. As a consequence, nodes request permits somewhat longer than needed.
+void cold_table::apply_backend(const directory::backend& backend, base::instant now) {
+    state& entry = this->states[backend.id];
+    const bool is_relisted = !entry.listed;
+    const bool has_started = entry.started_at != backend.started_at;
+    // This includes all entries of a node's first list. If a node that has just started trusts
+    // them, the bound does not hold: with a tenth of the nodes just started, 3 of 200 simulated
+    // fleets exceed it (57 requests in a second instead of 53).
+    if (is_relisted || has_started) {
+        entry.possibly_cold_since = now;
+    }
+    if (is_relisted || has_started || entry.cold_left_ms != backend.cold_left_ms) {
+        entry.cold_until =
+            std::max(entry.cold_until, now + base::milliseconds{backend.cold_left_ms});
+    }
+    entry.service = backend.service;
+    entry.zone = backend.zone;
+    entry.started_at = backend.started_at;
+    entry.cold_left_ms = backend.cold_left_ms;
+    entry.listed = true;
 }
 
 void cold_table::set_emptied_zones(const directory::emptied_zone_list& list, base::instant now) {
     std::set<std::string, std::less<>> next;
-    for (const directory::emptied_zone& one : list.zones) {
-        next.insert(one.zone);
+    for (const directory::emptied_zone& zone : list.zones) {
+        next.insert(zone.zone);
     }
-    // All nodes send to such a zone again at the same moment, before any entry says a word.
-    for (auto& [id, one] : this->states) {
-        if (this->emptied.count(one.zone) > 0 && next.count(one.zone) == 0) {
-            one.suspected_at = now;
+    // All nodes resume sending to such a zone at the same time, before any entry reports a start.
+    for (auto& [id, entry] : this->states) {
+        if (this->emptied_zones.count(entry.zone) > 0 && next.count(entry.zone) == 0) {
+            entry.possibly_cold_since = now;
         }
     }
-    this->emptied = std::move(next);
+    this->emptied_zones = std::move(next);
 }
 
 void cold_table::note_gap(base::instant now) {
-    for (auto& [id, one] : this->states) {
-        one.suspected_at = now;
+    for (auto& [id, entry] : this->states) {
+        entry.possibly_cold_since = now;
     }
 }
 
 void cold_table::note_unreachable(std::string_view id) {
     if (const auto found = this->states.find(id); found != this->states.end()) {
-        found->second.out_of_reach = true;
+        found->second.unreachable = true;
     }
 }
 
 void cold_table::note_reached(std::string_view id, base::instant now) {
     const auto found = this->states.find(id);
-    if (found != this->states.end() && std::exchange(found->second.out_of_reach, false)) {
-        found->second.suspected_at = now;
+    if (found != this->states.end() && std::exchange(found->second.unreachable, false)) {
+        found->second.possibly_cold_since = now;
     }
 }
 
-const cold_table::service_bound* cold_table::bound_of(const state& one) const {
-    const auto found = this->bounds.find(one.service);
+const cold_table::service_bound* cold_table::bound_of(const state& entry) const {
+    const auto found = this->bounds.find(entry.service);
     return found == this->bounds.end() ? nullptr : &found->second;
 }
 
-bool cold_table::is_cold(const state& one, base::instant now) const {
-    const service_bound* bound = this->bound_of(one);
+bool cold_table::is_cold(const state& entry, base::instant now) const {
+    const service_bound* bound = this->bound_of(entry);
     if (bound == nullptr) {
         return false;
     }
-    const bool is_suspected =
-        one.suspected_at.has_value() && now < *one.suspected_at + bound->cold_time;
-    return one.out_of_reach || is_suspected || now < one.cold_until;
+    const bool is_possibly_cold = entry.possibly_cold_since.has_value() &&
+                                  now < *entry.possibly_cold_since + bound->cold_time;
+    return entry.unreachable || is_possibly_cold || now < entry.cold_until;
 }
 
 std::optional<cold_start> cold_table::find(std::string_view id, base::instant now) const {
--- a/src/pearbarrow/slowstart/cold_table.h
+++ b/src/pearbarrow/slowstart/cold_table.h
@@ -1,7 +1,8 @@
-/// Which back ends are cold, as one node knows it, and for how much longer.
+/// Tracks which back ends are cold from the view of one node, and for how much longer.
 ///
-/// A pure state machine: time is given. What isn't known counts as cold: a back end that is heard
-/// of for the first time, or again after a gap, has just been idle, and all nodes see that at once.
+/// A pure state machine that receives the time as a parameter. A back end in an unknown state
+/// counts as cold: one that appears for the first time, or again after a gap, has been idle, and
+/// all nodes see that at the same time.
 #pragma once
 
 #include <cstddef>
@@ -21,9 +22,9 @@
 namespace pearbarrow::slowstart {
 
 struct cold_options {
-    /// A back end that has left the list is remembered this long, so that its return is told from
-    /// its going on.
-    base::milliseconds memory{60'000};
+    /// How long the table keeps the state of a back end that has left the list, so that it detects
+    /// its return.
+    base::milliseconds retention{60'000};
 };
 
 class cold_table {
@@ -31,28 +32,28 @@
     explicit cold_table(cold_options options = {}) : options(options) {}
 
     void set_configuration(const directory::configuration& config);
-    /// Takes what has changed in the list of back ends.
-    void apply(const directory::backend_changes& step, base::instant now);
-    /// The same from a whole list.
+    /// Applies changes of the list of back ends.
+    void apply(const directory::backend_changes& changes, base::instant now);
+    /// Replaces the whole list of back ends.
     void set_backends(const directory::backend_list& list, base::instant now);
     void set_emptied_zones(const directory::emptied_zone_list& list, base::instant now);
-    /// News come again after a time without any: whatever has started meanwhile may be cold.
+    /// Handles the end of a time without updates: any back end may have started meanwhile.
     void note_gap(base::instant now);
-    /// No connection came up: it may have ended, and be cold when it is there again.
+    /// Handles a failed connection: the process may have ended, and is cold when it is back.
     void note_unreachable(std::string_view id);
-    /// It has answered.
+    /// Handles a response of the back end.
     void note_reached(std::string_view id, base::instant now);
 
-    /// What a permit is asked for; absent while the back end is warm, or its service bears any
-    /// rate.
+    /// Returns the cold start for which a request needs a permit. Empty if the back end is warm or
+    /// its service has no cold rate.
     std::optional<cold_start> find(std::string_view id, base::instant now) const;
     bool is_cold(std::string_view id, base::instant now) const;
     std::size_t cold_count(base::instant now) const;
-    /// Whether the configuration has services whose back ends are ever cold.
+    /// Returns whether the configuration has services with a cold rate.
     bool is_needed() const { return !this->bounds.empty(); }
 
   private:
-    /// What the operator says of a service whose back ends start cold.
+    /// Configuration of a service whose back ends start cold.
     struct service_bound {
         base::milliseconds cold_time{0};
         double rate = 0;
@@ -65,24 +66,24 @@
         std::uint32_t cold_left_ms = 0;
         bool listed = false;
         base::instant vanished_at{};
-        bool out_of_reach = false;
-        /// By its own word.
+        bool unreachable = false;
+        /// End of the cold time that the back end reports.
         base::instant cold_until{};
-        /// Since when it may be in a start that nobody has told of.
-        std::optional<base::instant> suspected_at;
+        /// Time since which the back end may be in a start that no entry has reported.
+        std::optional<base::instant> possibly_cold_since;
     };
 
-    void take(const directory::backend& backend, base::instant now);
-    void forget_departed(base::instant now);
-    /// Null: the service's back ends are never cold.
-    const service_bound* bound_of(const state& one) const;
-    bool is_cold(const state& one, base::instant now) const;
+    void apply_backend(const directory::backend& backend, base::instant now);
+    void erase_departed(base::instant now);
+    /// Returns null if the back ends of the service are never cold.
+    const service_bound* bound_of(const state& entry) const;
+    bool is_cold(const state& entry, base::instant now) const;
 
     cold_options options;
     std::map<std::string, service_bound, std::less<>> bounds;
     std::map<std::string, state, std::less<>> states;
-    std::set<std::string, std::less<>> emptied;
-    /// Ids that have left the list, by when.
+    std::set<std::string, std::less<>> emptied_zones;
+    /// Ids that have left the list, in the order of their removal.
     std::deque<std::pair<base::instant, std::string>> departed;
 };
 
--- a/src/pearbarrow/slowstart/start_limits.h
+++ b/src/pearbarrow/slowstart/start_limits.h
@@ -1,7 +1,7 @@
 /// The limits under which storage members grant permits for back ends that have just started.
 ///
-/// A back end's start is one more name whose requests are counted in shares
-/// (`tenants/quota_ledger.h`): this gives the names and their rates.
+/// The ledger of tenants' quotas (`tenants/quota_ledger.h`) also counts these permits: each back
+/// end is one more name with a limit. This file defines the names and their rates.
 #pragma once
 
 #include <cstdint>
@@ -17,34 +17,38 @@
 
 namespace pearbarrow::slowstart {
 
-/// The operator's bound: a cold back end gets at most rate x overage + slack requests in a second.
+/// The operator's bound: a cold back end receives at most rate x overage + slack requests in a
+/// second.
 struct start_bound {
     double overage = 1.0;
     double slack = 0;
 };
 
-/// The name under which a back end's permits are counted.
+/// Returns the name under which the ledger counts a back end's permits.
 std::string limit_name(std::string_view backend);
 
-/// Options of the ledger that counts permits: its window is the second of the operator's bound.
+/// Returns options of the ledger that counts permits. Its window is the second of the operator's
+/// bound.
 tenants::quota_options permit_ledger_options(base::node_id self);
 
-/// Most permits of all members together in any second, while they agree on the view.
+/// Returns the maximum number of permits that all members together grant in any second, while they
+/// agree on the view.
 double granted_in_second(double rate, const start_bound& bound);
 
-/// Pure: follows configuration and back ends of a storage member.
+/// Derives the limits from the configuration and the back ends that a storage member knows. A pure
+/// state machine.
 class start_limits {
   public:
     explicit start_limits(start_bound bound) : bound(bound) {}
 
     void set_configuration(const directory::configuration& config);
-    /// Takes what has changed in the list of back ends.
-    void apply(const directory::backend_changes& step, base::instant now);
-    /// The same from a whole list.
+    /// Applies changes of the list of back ends.
+    void apply(const directory::backend_changes& changes, base::instant now);
+    /// Replaces the whole list of back ends.
     void set_backends(const directory::backend_list& list, base::instant now);
-    /// Whether any service's back ends are ever cold.
+    /// Returns whether any service has a cold rate.
     bool is_needed() const { return !this->rates.empty(); }
-    /// For `tenants::quota_ledger::set_configuration`.
+    /// Returns the limits, in the form that `tenants::quota_ledger::set_configuration` takes.
     directory::configuration limits() const;
 
   private:
@@ -54,13 +58,13 @@
         base::instant vanished_at{};
     };
 
-    void forget_departed(base::instant now);
+    void erase_departed(base::instant now);
 
     start_bound bound;
     std::uint64_t version = 0;
     std::map<std::string, double, std::less<>> rates;
     std::map<std::string, known_backend, std::less<>> backends;
-    /// Ids that have left the list, by when.
+    /// Ids that have left the list, in the order of their removal.
     std::deque<std::pair<base::instant, std::string>> departed;
 };
 
--- a/src/pearbarrow/slowstart/start_permit.h
+++ b/src/pearbarrow/slowstart/start_permit.h
@@ -1,7 +1,8 @@
-/// Whether a request may be sent now to a back end that has just started.
+/// Permits to send a request to a back end that has just started.
 ///
-/// A cold back end bears a rate from all callers together, so no node can judge by itself: a permit
-/// is a part of that rate. Behind an interface, since there are several ways to divide it.
+/// The rate of a cold back end applies to all nodes together, so a node cannot decide alone: each
+/// permit consumes a part of that rate. The source of permits is an interface, since there are
+/// several ways to divide the rate.
 #pragma once
 
 #include <cstdint>
@@ -15,21 +16,21 @@
 
 namespace pearbarrow::slowstart {
 
-/// One start of a back end's process, and what it bears while it is cold.
+/// One incarnation of a back end, and the rate that it can handle while it is cold.
 struct cold_start {
     std::string backend;
-    /// As `directory::backend::started_at`.
+    /// Same value as `directory::backend::started_at`.
     std::uint64_t started_at = 0;
-    /// Requests a second from all nodes together.
+    /// Requests per second from all nodes together.
     double rate = 0;
 };
 
 enum class permit_verdict : std::uint8_t {
     /// One request may be sent now.
     granted,
-    /// The back end's rate is used up.
+    /// The back end's rate is exhausted.
     refused,
-    /// Nobody who could grant answered: the request goes elsewhere.
+    /// No member that can grant the permit replied. The request goes to another back end.
     unanswered,
 };
 
@@ -37,15 +38,15 @@
 
 struct permit_decision {
     permit_verdict verdict = permit_verdict::unanswered;
-    /// Until one may be had, as far as is known.
+    /// Estimated time until a permit is available.
     base::milliseconds retry_after{0};
 };
 
 class permit_source {
   public:
     virtual ~permit_source() = default;
-    /// `done` runs once, never before this returns; the operation may not be destroyed inside it.
-    /// Destroying it before ends the question.
+    /// Calls `done` once, never before this function returns. The caller must not destroy the
+    /// operation inside `done`; destroying it earlier cancels the request.
     [[nodiscard]] virtual std::unique_ptr<turns::turn_operation> ask(
         const cold_start& target, std::function<void(const permit_decision&)> done) = 0;
 };
--- a/src/pearbarrow/slowstart/start_quota.cc
+++ b/src/pearbarrow/slowstart/start_quota.cc
@@ -9,15 +9,15 @@
 namespace pearbarrow::slowstart {
 namespace {
 
-/// The request goes to another back end at once, which is better than waiting for a slow member.
-/// Answers take 3 to 8 ms between zones.
-constexpr base::milliseconds patience{40};
+/// Timeout of one call. Sending the request to another back end is better than waiting for a slow
+/// member. A reply between zones takes 3 to 8 ms.
+constexpr base::milliseconds call_timeout{40};
 
-/// An answer that needs no message.
-class known_answer final : public turns::turn_operation {
+/// Delivers a decision that needs no call to a member.
+class immediate_decision final : public turns::turn_operation {
   public:
-    known_answer(net::event_loop& loop, permit_decision decision,
-                 std::function<void(const permit_decision&)> done)
+    immediate_decision(net::event_loop& loop, permit_decision decision,
+                       std::function<void(const permit_decision&)> done)
         : timer(loop.after(base::milliseconds{0},
                            [decision, done = std::move(done)] { done(decision); })) {}
 
@@ -42,9 +42,9 @@
 tenants::quota_client_options permit_client_options() {
     tenants::quota_client_options options;
     options.method = wire::start_permit;
-    options.patience = patience;
+    options.patience = call_timeout;
     options.least_retry_after = base::milliseconds{10};
-    // Of the 200 ms by which members count their window longer, 50 are for the connection.
+    // Members extend their window by 200 ms, of which 50 ms are reserved for connecting.
     options.grant_lifetime = base::milliseconds{150};
     return options;
 }
@@ -52,26 +52,28 @@
 std::unique_ptr<turns::turn_operation> start_quota::ask(
     const cold_start& target, std::function<void(const permit_decision&)> done) {
     const base::instant now = this->clock.now();
-    std::erase_if(this->used_up_until, [now](const auto& item) { return item.second <= now; });
-    if (const auto used_up = this->used_up_until.find(target.backend);
-        used_up != this->used_up_until.end()) {
-        const auto wait = std::chrono::ceil<base::milliseconds>(used_up->second - now);
-        return std::make_unique<known_answer>(
+    std::erase_if(this->exhausted_until, [now](const auto& item) { return item.second <= now; });
+    if (const auto exhausted = this->exhausted_until.find(target.backend);
+        exhausted != this->exhausted_until.end()) {
+        const auto wait = std::chrono::ceil<base::milliseconds>(exhausted->second - now);
+        return std::make_unique<immediate_decision>(
             this->loop, permit_decision{.verdict = permit_verdict::refused, .retry_after = wait},
             std::move(done));
     }
-    // Each question begins with another member: their shares are used evenly.
+    // Each request starts with a random member, so that all shares are used evenly.
     return this->client.ask(
         {.tenant = limit_name(target.backend), .program = this->random.next() | 1U},
-        [this, backend = target.backend, done = std::move(done)](
-            const tenants::quota_decision& decision) { this->take(backend, decision, done); });
+        [this, backend = target.backend,
+         done = std::move(done)](const tenants::quota_decision& decision) {
+            this->on_decision(backend, decision, done);
+        });
 }
 
-void start_quota::take(const std::string& backend, const tenants::quota_decision& decision,
-                       const std::function<void(const permit_decision&)>& done) {
+void start_quota::on_decision(const std::string& backend, const tenants::quota_decision& decision,
+                              const std::function<void(const permit_decision&)>& done) {
     const permit_verdict verdict = verdict_of(decision.verdict);
     if (verdict == permit_verdict::refused) {
-        this->used_up_until[backend] = this->clock.now() + decision.retry_after;
+        this->exhausted_until[backend] = this->clock.now() + decision.retry_after;
     }
     done({.verdict = verdict, .retry_after = decision.retry_after});
 }
--- a/src/pearbarrow/slowstart/start_quota.h
+++ b/src/pearbarrow/slowstart/start_quota.h
@@ -1,4 +1,5 @@
-/// Permits granted by a few storage members, each from its own part of a back end's rate.
+/// Requests permits from a few storage members, each of which grants from its own share of a back
+/// end's rate.
 #pragma once
 
 #include <map>
@@ -13,7 +14,7 @@
 
 namespace pearbarrow::slowstart {
 
-/// Options of the client by which permits are asked for.
+/// Returns options of the client that requests permits.
 tenants::quota_client_options permit_client_options();
 
 class start_quota final : public permit_source {
@@ -26,15 +27,15 @@
         const cold_start& target, std::function<void(const permit_decision&)> done) override;
 
   private:
-    void take(const std::string& backend, const tenants::quota_decision& decision,
-              const std::function<void(const permit_decision&)>& done);
+    void on_decision(const std::string& backend, const tenants::quota_decision& decision,
+                     const std::function<void(const permit_decision&)>& done);
 
     net::event_loop& loop;
     const base::clock& clock;
     base::random_source& random;
     tenants::quota_client& client;
-    /// Back ends whose members have all refused, until when nobody is asked again.
-    std::map<std::string, base::instant, std::less<>> used_up_until;
+    /// Back ends whose members have all refused, with the time until which no member is called.
+    std::map<std::string, base::instant, std::less<>> exhausted_until;
 };
 
 }  // namespace pearbarrow::slowstart
--- a/tests/unit/slowstart/cold_table_test.cc
+++ b/tests/unit/slowstart/cold_table_test.cc
@@ -15,7 +15,7 @@
     return {.id = id, .service = service, .zone = "a", .slots = 6, .started_at = 1'000};
 }
 
-/// A table that has known two back ends for long, so that both are warm.
+/// A table that has had two back ends for a long time, so that both are warm.
 struct table_fixture {
     table_fixture() {
         directory::configuration config;
@@ -24,10 +24,10 @@
         config.services.push_back({.name = "tool", .cold_start_ms = cold_time.count()});
         this->table.set_configuration(config);
         this->list.backends = {{"e", backend_of("e")}, {"t", backend_of("t", "tool")}};
-        this->tell();
+        this->publish();
         this->now += long_after;
     }
-    void tell() { this->table.set_backends(this->list, this->now); }
+    void publish() { this->table.set_backends(this->list, this->now); }
     bool is_cold_after(milliseconds wait, const std::string& id = "e") const {
         return this->table.is_cold(id, this->now + wait);
     }
@@ -39,103 +39,105 @@
 
 }  // namespace
 
-Test(cold_table, one_known_for_long_is_warm) {
-    const table_fixture known;
-    cr_assert(!known.is_cold_after(milliseconds{0}));
-    cr_assert(!known.table.find("e", known.now).has_value());
-    cr_assert(known.table.cold_count(known.now) == 0);
+Test(cold_table, back_end_listed_for_long_is_warm) {
+    const table_fixture fixture;
+    cr_assert(!fixture.is_cold_after(milliseconds{0}));
+    cr_assert(!fixture.table.find("e", fixture.now).has_value());
+    cr_assert(fixture.table.cold_count(fixture.now) == 0);
 }
 
-Test(cold_table, its_own_word_counts_from_when_it_was_heard) {
-    table_fixture known;
-    known.list.backends["e"].cold_left_ms = 2'500;
-    known.tell();
-    cr_assert(known.is_cold_after(milliseconds{2'499}));
-    cr_assert(!known.is_cold_after(milliseconds{2'500}));
-    const auto found = known.table.find("e", known.now);
+Test(cold_table, reported_cold_time_counts_from_its_receipt) {
+    table_fixture fixture;
+    fixture.list.backends["e"].cold_left_ms = 2'500;
+    fixture.publish();
+    cr_assert(fixture.is_cold_after(milliseconds{2'499}));
+    cr_assert(!fixture.is_cold_after(milliseconds{2'500}));
+    const auto found = fixture.table.find("e", fixture.now);
     cr_assert(found.has_value() && found->rate == 32 && found->started_at == 1'000);
 }
 
-Test(cold_table, an_unchanged_entry_prolongs_nothing) {
-    table_fixture known;
-    known.list.backends["e"].cold_left_ms = 2'500;
-    known.tell();
-    known.now += milliseconds{2'000};
-    known.tell();
-    cr_assert(!known.is_cold_after(milliseconds{500}));
+Test(cold_table, unchanged_entry_does_not_extend_the_cold_time) {
+    table_fixture fixture;
+    fixture.list.backends["e"].cold_left_ms = 2'500;
+    fixture.publish();
+    fixture.now += milliseconds{2'000};
+    fixture.publish();
+    cr_assert(!fixture.is_cold_after(milliseconds{500}));
 }
 
-Test(cold_table, a_word_is_not_taken_back_by_an_older_one) {
-    table_fixture known;
-    known.list.backends["e"].started_at = 2'000;
-    known.tell();
-    known.now += milliseconds{500};
-    known.list.backends["e"].cold_left_ms = 1;
-    known.tell();
-    known.list.backends["e"].cold_left_ms = 0;
-    known.tell();
-    cr_assert(known.is_cold_after(milliseconds{2'499}));
-    cr_assert(!known.is_cold_after(milliseconds{2'500}));
+Test(cold_table, shorter_report_does_not_shorten_the_cold_time) {
+    table_fixture fixture;
+    fixture.list.backends["e"].started_at = 2'000;
+    fixture.publish();
+    fixture.now += milliseconds{500};
+    fixture.list.backends["e"].cold_left_ms = 1;
+    fixture.publish();
+    fixture.list.backends["e"].cold_left_ms = 0;
+    fixture.publish();
+    cr_assert(fixture.is_cold_after(milliseconds{2'499}));
+    cr_assert(!fixture.is_cold_after(milliseconds{2'500}));
 }
 
-Test(cold_table, a_new_start_a_new_id_and_a_return_are_cold_whatever_the_entry_says) {
-    table_fixture known;
-    known.list.backends["e"].started_at = 2'000;
-    known.list.backends["new"] = backend_of("new");
-    known.tell();
-    cr_assert(known.is_cold_after(milliseconds{2'999}));
-    cr_assert(known.is_cold_after(milliseconds{2'999}, "new"));
-    cr_assert(known.table.cold_count(known.now) == 2);
-    known.now += long_after;
-    cr_assert(!known.is_cold_after(milliseconds{0}));
-    known.list.backends.erase("e");
-    known.tell();
-    known.now += milliseconds{100};
-    known.list.backends["e"] = backend_of("e");
-    known.list.backends["e"].started_at = 2'000;
-    known.tell();
-    cr_assert(known.is_cold_after(milliseconds{2'999}));
+Test(cold_table, restarted_new_and_returning_back_ends_are_cold) {
+    table_fixture fixture;
+    fixture.list.backends["e"].started_at = 2'000;
+    fixture.list.backends["new"] = backend_of("new");
+    fixture.publish();
+    cr_assert(fixture.is_cold_after(milliseconds{2'999}));
+    cr_assert(fixture.is_cold_after(milliseconds{2'999}, "new"));
+    cr_assert(fixture.table.cold_count(fixture.now) == 2);
+    fixture.now += long_after;
+    cr_assert(!fixture.is_cold_after(milliseconds{0}));
+    fixture.list.backends.erase("e");
+    fixture.publish();
+    fixture.now += milliseconds{100};
+    fixture.list.backends["e"] = backend_of("e");
+    fixture.list.backends["e"].started_at = 2'000;
+    fixture.publish();
+    cr_assert(fixture.is_cold_after(milliseconds{2'999}));
 }
 
-Test(cold_table, a_zone_that_is_taken_back_is_cold) {
-    table_fixture known;
-    known.table.set_emptied_zones({.revision = 1, .zones = {{.zone = "a", .since = 1}}}, known.now);
-    cr_assert(!known.is_cold_after(milliseconds{0}), "nothing is sent there anyway");
-    known.table.set_emptied_zones({.revision = 2, .zones = {}}, known.now);
-    cr_assert(known.is_cold_after(milliseconds{2'999}));
-    cr_assert(!known.is_cold_after(milliseconds{3'000}));
+Test(cold_table, back_ends_of_a_zone_back_in_use_are_cold) {
+    table_fixture fixture;
+    fixture.table.set_emptied_zones({.revision = 1, .zones = {{.zone = "a", .since = 1}}},
+                                    fixture.now);
+    cr_assert(!fixture.is_cold_after(milliseconds{0}), "no requests are sent to an emptied zone");
+    fixture.table.set_emptied_zones({.revision = 2, .zones = {}}, fixture.now);
+    cr_assert(fixture.is_cold_after(milliseconds{2'999}));
+    cr_assert(!fixture.is_cold_after(milliseconds{3'000}));
 }
 
-Test(cold_table, one_that_could_not_be_reached_is_cold_from_its_first_answer) {
-    table_fixture known;
-    known.table.note_unreachable("e");
-    cr_assert(known.is_cold_after(long_after));
-    known.now += long_after;
-    known.table.note_reached("e", known.now);
-    cr_assert(known.is_cold_after(milliseconds{2'999}));
-    known.table.note_reached("e", known.now + milliseconds{1'000});
-    cr_assert(!known.is_cold_after(milliseconds{3'000}), "only the first answer counts");
+Test(cold_table, unreachable_back_end_is_cold_from_its_first_response) {
+    table_fixture fixture;
+    fixture.table.note_unreachable("e");
+    cr_assert(fixture.is_cold_after(long_after));
+    fixture.now += long_after;
+    fixture.table.note_reached("e", fixture.now);
+    cr_assert(fixture.is_cold_after(milliseconds{2'999}));
+    fixture.table.note_reached("e", fixture.now + milliseconds{1'000});
+    cr_assert(!fixture.is_cold_after(milliseconds{3'000}),
+              "only the first response starts the cold time");
 }
 
-Test(cold_table, back_ends_of_a_service_that_bears_any_rate_are_never_cold) {
-    table_fixture known;
-    known.list.backends["t"].started_at = 2'000;
-    known.list.backends["t"].cold_left_ms = 2'500;
-    known.tell();
-    known.table.note_unreachable("t");
-    cr_assert(!known.is_cold_after(milliseconds{0}, "t"));
-    cr_assert(!known.table.find("t", known.now).has_value());
+Test(cold_table, back_ends_of_a_service_without_cold_rate_are_never_cold) {
+    table_fixture fixture;
+    fixture.list.backends["t"].started_at = 2'000;
+    fixture.list.backends["t"].cold_left_ms = 2'500;
+    fixture.publish();
+    fixture.table.note_unreachable("t");
+    cr_assert(!fixture.is_cold_after(milliseconds{0}, "t"));
+    cr_assert(!fixture.table.find("t", fixture.now).has_value());
 }
 
-Test(cold_table, a_configuration_that_comes_later_counts_for_what_was_heard_before) {
-    table_fixture known;
-    known.table.set_configuration({});
-    known.list.backends["e"].started_at = 2'000;
-    known.tell();
-    cr_assert(!known.is_cold_after(milliseconds{0}));
+Test(cold_table, later_configuration_applies_to_earlier_entries) {
+    table_fixture fixture;
+    fixture.table.set_configuration({});
+    fixture.list.backends["e"].started_at = 2'000;
+    fixture.publish();
+    cr_assert(!fixture.is_cold_after(milliseconds{0}));
     directory::configuration config;
     config.services.push_back(
         {.name = "engine", .cold_start_ms = cold_time.count(), .cold_rate = 32});
-    known.table.set_configuration(config);
-    cr_assert(known.is_cold_after(milliseconds{2'999}));
+    fixture.table.set_configuration(config);
+    cr_assert(fixture.is_cold_after(milliseconds{2'999}));
 }
--- a/tests/unit/slowstart/start_quota_test.cc
+++ b/tests/unit/slowstart/start_quota_test.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Members that all answer the same at once, or fail.
-class one_answer_caller final : public turns::member_caller {
+/// Returns the same reply from all members at once, or an error if none is set.
+class fixed_reply_caller final : public turns::member_caller {
   public:
     std::unique_ptr<net::peer_call_handle> call(const directory::storage_member& /*member*/,
                                                 net::method_number method, std::string payload,
@@ -24,19 +24,19 @@
                                                 reply_handler on_reply) override {
         ++this->calls;
         this->method = method;
-        this->question = *wire::decode<tenants::quota_question>(payload);
-        if (this->answer.has_value()) {
-            on_reply(wire::encode(*this->answer));
+        this->request = *wire::decode<tenants::quota_question>(payload);
+        if (this->reply.has_value()) {
+            on_reply(wire::encode(*this->reply));
         } else {
             on_reply(absl::UnavailableError("silent"));
         }
         return nullptr;
     }
 
-    std::optional<tenants::grant_reply> answer;
+    std::optional<tenants::grant_reply> reply;
     int calls = 0;
     net::method_number method = 0;
-    tenants::quota_question question;
+    tenants::quota_question request;
 };
 
 struct source_fixture {
@@ -44,9 +44,9 @@
 
     permit_decision ask() {
         std::optional<permit_decision> decision;
-        const auto step = this->source.ask({.backend = "e", .started_at = 1, .rate = 32},
-                                           [&](const auto& made) { decision = made; });
-        cr_assert(!decision.has_value(), "never before the call returns");
+        const auto operation = this->source.ask({.backend = "e", .started_at = 1, .rate = 32},
+                                                [&](const auto& result) { decision = result; });
+        cr_assert(!decision.has_value(), "done was called before ask returned");
         cr_assert(run_until(this->loop, [&] { return decision.has_value(); }));
         return *decision;
     }
@@ -54,7 +54,7 @@
     net::event_loop loop;
     base::manual_clock clock;
     base::random_source random{1};
-    one_answer_caller caller;
+    fixed_reply_caller caller;
     tenants::quota_client client{loop, clock, caller, permit_client_options()};
     start_quota source{loop, clock, random, client};
 };
@@ -68,32 +68,32 @@
 
 directory::backend_list list_of(std::initializer_list<directory::backend> backends) {
     directory::backend_list list;
-    for (const directory::backend& one : backends) {
-        list.backends[one.id] = one;
+    for (const directory::backend& backend : backends) {
+        list.backends[backend.id] = backend;
     }
     return list;
 }
 
 }  // namespace
 
-Test(start_quota, a_member_that_grants_is_enough) {
+Test(start_quota, grant_from_one_member_is_sufficient) {
     source_fixture fixture;
-    fixture.caller.answer = {.outcome = tenants::quota_outcome::granted};
+    fixture.caller.reply = {.outcome = tenants::quota_outcome::granted};
     cr_assert(fixture.ask().verdict == permit_verdict::granted);
     cr_assert(fixture.caller.calls == 1);
     cr_assert(fixture.caller.method == wire::start_permit);
-    cr_assert(fixture.caller.question.tenant == limit_name("e"));
+    cr_assert(fixture.caller.request.tenant == limit_name("e"));
 }
 
-Test(start_quota, silent_members_give_no_permit) {
+Test(start_quota, permit_without_reply_is_unanswered) {
     source_fixture fixture;
     cr_assert(fixture.ask().verdict == permit_verdict::unanswered);
     cr_assert(fixture.caller.calls == 3);
 }
 
-Test(start_quota, nobody_is_asked_while_a_rate_is_known_to_be_used_up) {
+Test(start_quota, no_member_is_called_while_the_rate_is_exhausted) {
     source_fixture fixture;
-    fixture.caller.answer = {.outcome = tenants::quota_outcome::refused, .retry_after_ms = 60};
+    fixture.caller.reply = {.outcome = tenants::quota_outcome::refused, .retry_after_ms = 60};
     cr_assert(fixture.ask().verdict == permit_verdict::refused);
     cr_assert(fixture.caller.calls == 3);
     fixture.clock.advance(base::milliseconds{20});
@@ -102,24 +102,24 @@
     cr_assert(again.retry_after == base::milliseconds{40});
     cr_assert(fixture.caller.calls == 3);
     fixture.clock.advance(base::milliseconds{40});
-    fixture.caller.answer = {.outcome = tenants::quota_outcome::granted};
+    fixture.caller.reply = {.outcome = tenants::quota_outcome::granted};
     cr_assert(fixture.ask().verdict == permit_verdict::granted);
 }
 
-Test(start_limits, a_limit_stands_for_each_back_end_of_a_service_with_a_cold_rate) {
+Test(start_limits, each_back_end_of_a_service_with_a_cold_rate_has_a_limit) {
     start_limits limits({.overage = 1.5, .slack = 5});
     limits.set_configuration(engines(32));
     limits.set_backends(list_of({{.id = "e", .service = "engine"}, {.id = "t", .service = "tool"}}),
                         {});
-    const auto made = limits.limits();
-    cr_assert(made.tenants.size() == 1);
-    cr_assert(made.tenants[0].name == limit_name("e"));
-    // Three quarters of 53, less one request for each of three members.
-    cr_assert_float_eq(made.tenants[0].rate, 36.75, 1e-9);
+    const auto config = limits.limits();
+    cr_assert(config.tenants.size() == 1);
+    cr_assert(config.tenants[0].name == limit_name("e"));
+    // Three quarters of 53, minus one request for each of three members.
+    cr_assert_float_eq(config.tenants[0].rate, 36.75, 1e-9);
     cr_assert_float_eq(granted_in_second(32, {.overage = 1.5, .slack = 5}), 39.75, 1e-9);
 }
 
-Test(start_limits, a_back_end_that_vanishes_for_a_moment_keeps_its_count) {
+Test(start_limits, back_end_that_briefly_leaves_the_list_keeps_its_limit) {
     start_limits limits({});
     const base::instant now{};
     limits.set_configuration(engines(32));
