--- a/src/pearbarrow/wire/codec.h
+++ b/src/pearbarrow/wire/codec.h
@@ -1,4 +1,4 @@
-/// Packing of typed messages into msgpack bytes, with every decoding error turned into a status.
+/// Encodes typed messages as msgpack and decodes them. Decoding errors are reported as a status.
 #pragma once
 
 #include <exception>
@@ -13,7 +13,7 @@
 
 namespace pearbarrow::wire {
 
-/// Deepest nesting and longest containers that a decoder accepts from the network.
+/// Maximum nesting and container size that a decoder accepts from the network.
 inline constexpr std::size_t max_nesting = 32;
 inline constexpr std::size_t max_container_items = 1 << 20;
 
@@ -46,13 +46,13 @@
 
 }  // namespace detail
 
-/// Fails with kInvalidArgument, reason `malformed_message`, when the bytes are not a `Message`.
+/// Fails with kInvalidArgument and reason `malformed_message` if the bytes are not a `Message`.
 template <typename Message>
 absl::StatusOr<Message> decode(std::string_view bytes) {
     return detail::decode<Message>(bytes, nullptr);
 }
 
-/// The same for a message that holds views of texts: they refer to `bytes`, and no text is copied.
+/// Decodes a message with string views, which refer to `bytes` instead of copies.
 template <typename Message>
 absl::StatusOr<Message> decode_in_place(std::string_view bytes) {
     return detail::decode<Message>(
--- a/src/pearbarrow/wire/config_messages.h
+++ b/src/pearbarrow/wire/config_messages.h
@@ -1,4 +1,5 @@
-/// The peer call `config_fetch`: what follows a version of the configuration log.
+/// Messages of the peer method `config_fetch`, which returns the entries of the configuration log
+/// after a version.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +13,12 @@
 namespace pearbarrow::wire {
 
 struct config_fetch_request {
-    /// The asker's version; the answer holds what follows it.
+    /// Version of the requesting node. The reply contains the entries after it.
     base::config_version after;
     MSGPACK_DEFINE(after);
 };
 
-/// An entry of the log; `content` is the JSON text of `config::encode_change`.
+/// An entry of the log. `content` is the JSON text of `config::encode_change`.
 struct config_entry {
     base::config_version version;
     std::string content;
@@ -25,9 +26,9 @@
 };
 
 struct config_fetch_reply {
-    /// The answering node's version.
+    /// Version of the replying node.
     base::config_version version;
-    /// JSON text of `config::encode_configuration`; empty when the entries suffice.
+    /// JSON text of `config::encode_configuration`. Empty if the entries are sufficient.
     std::string snapshot;
     std::vector<config_entry> entries;
     MSGPACK_DEFINE(version, snapshot, entries);
--- a/src/pearbarrow/wire/journal_messages.h
+++ b/src/pearbarrow/wire/journal_messages.h
@@ -1,7 +1,7 @@
 /// Messages between the leader of a shard's journal and the journal's replicas.
 ///
-/// Every request names the one store it is meant for (`journal_member`), the leader's ballot and
-/// the epoch of the replica set that the leader works with. See docs/design/journal.md.
+/// Every request names the store that it is sent to (`journal_member`), the leader's ballot and the
+/// epoch of the leader's replica set. See docs/design/journal.md.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +18,12 @@
 
 namespace pearbarrow::wire {
 
-/// What an entry is for. Only records reach the owner.
+/// Kind of a journal entry. Only records are delivered to the owner.
 enum class journal_entry_kind : std::uint8_t { record = 0, ownership = 1, replica_set = 2 };
 
-/// One place of a shard's data: a node, the identity that the node's store drew when it was
-/// created, and how often this shard was reset on it. A node whose disk was lost, or whose shard
-/// was reset after corruption, is another member and has no vote until it is added.
+/// A replica of a shard's data: a node, the random identity of the node's store, and the number of
+/// resets of this shard on it. A node that has lost its disk, or has reset the shard after
+/// corruption, is a new member without a vote until it is added.
 struct journal_member {
     base::node_id node;
     std::string store;
@@ -33,7 +33,7 @@
     MSGPACK_DEFINE(node, store, generation);
 };
 
-/// Replica set of a shard. Consecutive epochs differ by one member at most.
+/// Replica set of a shard. Consecutive epochs differ by at most one member.
 struct journal_replica_set {
     std::uint64_t epoch = 0;
     std::vector<journal_member> members;
@@ -49,21 +49,21 @@
     journal_entry_kind kind = journal_entry_kind::record;
     /// Opaque to the journal.
     std::string payload;
-    /// When not empty, the entry stays readable by this key after truncation, until dropped.
+    /// If not empty, the entry remains readable by this key after truncation until it is dropped.
     std::string retention_key;
-    /// Once this entry is committed, earlier entries whose key begins so are dropped.
+    /// The commit of this entry drops earlier entries whose key begins with one of these prefixes.
     std::vector<std::string> dropped_prefixes;
-    /// xxHash of all the above, set by the leader (`journal::entry_checksum`).
+    /// xxHash of all preceding fields, set by the leader (`journal::entry_checksum`).
     std::uint64_t checksum = 0;
 
     bool operator==(const journal_entry&) const = default;
     MSGPACK_DEFINE(index, ballot, kind, payload, retention_key, dropped_prefixes, checksum);
 };
 
-/// First part of every request.
+/// Header of every request.
 struct journal_header {
     base::shard_id shard;
-    /// Drawn by the leader, echoed in the reply.
+    /// Random number of the leader, which the reply repeats.
     std::uint64_t request_id = 0;
     journal_member target;
     std::uint64_t epoch = 0;
@@ -72,16 +72,17 @@
     MSGPACK_DEFINE(shard, request_id, target, epoch, ballot);
 };
 
-/// Asks for the promise to refuse lower ballots.
+/// Requests the promise to reject lower ballots.
 struct journal_prepare_request {
     journal_header header;
-    /// Random number of this campaign: tells a repeated message from a restarted candidate.
+    /// Random number of this campaign. It distinguishes a repeated message from a restarted
+    /// candidate.
     std::uint64_t campaign = 0;
 
     MSGPACK_DEFINE(header, campaign);
 };
 
-/// Stores entries after `previous_index`; without entries, a heartbeat.
+/// Appends entries after `previous_index`. Without entries it is a heartbeat.
 struct journal_append_request {
     journal_header header;
     base::log_index previous_index;
@@ -94,15 +95,15 @@
 
 enum class journal_read_part : std::uint8_t { snapshot = 0, retained = 1, entries = 2 };
 
-/// Reads part of a replica's state, for recovery and to catch another replica up.
+/// Reads a part of a replica's state, for recovery and for the catch-up of another replica.
 struct journal_read_request {
     journal_header header;
     journal_read_part part = journal_read_part::entries;
-    /// Snapshot: first byte.
+    /// Snapshot: offset of the first byte.
     std::uint64_t offset = 0;
     /// Entries: first index.
     base::log_index from;
-    /// Retained: the key and index after which to go on; empty and 0 to begin.
+    /// Retained: the key and index after which to continue. Empty and 0 for the first page.
     std::string after_key;
     base::log_index after_index;
     std::uint64_t max_bytes = 0;
@@ -110,7 +111,7 @@
     MSGPACK_DEFINE(header, part, offset, from, after_key, after_index, max_bytes);
 };
 
-/// One chunk of the owner's snapshot at `index`; on the last chunk the log up to it is truncated.
+/// A chunk of the owner's snapshot at `index`. The last chunk truncates the log up to this index.
 struct journal_snapshot_request {
     journal_header header;
     base::log_index index;
@@ -122,8 +123,8 @@
     MSGPACK_DEFINE(header, index, index_ballot, offset, chunk, last);
 };
 
-/// One step of copying another replica's snapshot and retained entries to a lagging replica. Steps
-/// are numbered from 0; the last one makes the copy take effect as a whole.
+/// A step of a transfer of another replica's snapshot and retained entries to a lagging replica.
+/// Steps are numbered from 0. The last one installs the whole copy.
 struct journal_install_request {
     journal_header header;
     std::uint64_t transfer = 0;
@@ -137,30 +138,32 @@
     MSGPACK_DEFINE(header, transfer, step, index, index_ballot, chunk, retained, last);
 };
 
-/// Reads committed entries whose retention key begins with `key_prefix`, in order of key and index.
+/// Reads committed entries whose retention key begins with `key_prefix`, ordered by key and index.
 struct journal_read_retained_request {
     journal_header header;
     std::string key_prefix;
     std::string after_key;
     base::log_index after_index;
-    /// The replica must have learnt that this index is committed, else reason `replica_lagging`.
+    /// The replica must know that this index is committed. Otherwise the reason is
+    /// `replica_lagging`.
     base::log_index required_index;
     std::uint64_t max_bytes = 0;
 
     MSGPACK_DEFINE(header, key_prefix, after_key, after_index, required_index, max_bytes);
 };
 
-/// Asks for the member identity and state of a shard. The target, ballot and epoch don't matter.
+/// Requests the member identity and the state of a shard. Target, ballot and epoch are ignored.
 struct journal_status_request {
     journal_header header;
 
     MSGPACK_DEFINE(header);
 };
 
-/// `refused`: the leader has lost its right (reason `ballot_fenced`, `stale_epoch`). `mismatch`:
-/// the previous entry isn't there, see `hint`. `failed`: this replica can't serve the request;
-/// reasons `store_mismatch`, `journal_corrupt`, `journal_storage_failed`, `checksum_mismatch`,
-/// `install_out_of_order`, `entries_unavailable`, `replica_lagging`, `malformed_message`.
+/// `refused`: the leader is no longer valid (reason `ballot_fenced`, `stale_epoch`). `mismatch`:
+/// the previous entry does not exist, see `hint`. `failed`: this replica cannot serve the request,
+/// with the reasons `store_mismatch`, `journal_corrupt`, `journal_storage_failed`,
+/// `checksum_mismatch`, `install_out_of_order`, `entries_unavailable`, `replica_lagging`,
+/// `malformed_message`.
 enum class journal_outcome : std::uint8_t { accepted = 0, refused = 1, mismatch = 2, failed = 3 };
 
 /// Reply to every journal request.
@@ -169,7 +172,7 @@
     std::uint64_t request_id = 0;
     journal_outcome outcome = journal_outcome::accepted;
     std::string reason;
-    /// Who answers, with its real store identity.
+    /// The replying member, with its actual store identity.
     journal_member member;
     base::ballot promised;
     std::uint64_t epoch = 0;
@@ -178,15 +181,15 @@
     base::log_index snapshot_index;
     base::ballot snapshot_ballot;
     base::log_index commit_index;
-    /// Append: all entries up to here are as in the request and durable.
+    /// Append: all entries up to this index match the request and are durable.
     base::log_index matched_index;
-    /// Mismatch: the last index that may match.
+    /// Mismatch: the highest index that may match.
     base::log_index hint;
-    /// Read of entries: ballot of the entry before the first one.
+    /// Read of entries: ballot of the entry before the first returned one.
     base::ballot previous_ballot;
     std::string chunk;
     std::vector<journal_entry> entries;
-    /// Read: there is more after this page.
+    /// Read: whether more data follows this page.
     bool more = false;
 
     MSGPACK_DEFINE(shard, request_id, outcome, reason, member, promised, epoch, last_index,
@@ -204,14 +207,14 @@
                       request);
 }
 
-/// The peer method that carries `request`.
+/// Returns the peer method of `request`.
 method_number method_of(const journal_request& request);
 
-/// Packs the request that goes with `method_of(request)`.
+/// Encodes the request for `method_of(request)`.
 std::string encode_journal_request(const journal_request& request);
 
-/// Fails with kInvalidArgument (`malformed_message`) on bad bytes or a method that isn't the
-/// journal's.
+/// Fails with kInvalidArgument (`malformed_message`) if the bytes are malformed or the method is
+/// not a journal method.
 absl::StatusOr<journal_request> decode_journal_request(method_number method,
                                                        std::string_view bytes);
 
--- a/src/pearbarrow/wire/membership_messages.h
+++ b/src/pearbarrow/wire/membership_messages.h
@@ -1,4 +1,4 @@
-/// Datagrams between nodes for membership: probes, their answers, gossip and synchronisation.
+/// Membership datagrams between nodes: probes, acknowledgements, gossip and synchronisation.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,31 @@
 
 namespace pearbarrow::wire {
 
-/// Version of the datagram's layout. Others are dropped.
+/// Version of the datagram layout. Datagrams with another version are dropped.
 inline constexpr std::uint8_t membership_protocol = 1;
 
 enum class swim_message_kind : std::uint8_t {
-    /// Asks for an `ack` with the same sequence.
+    /// Requests an `ack` with the same sequence.
     ping = 1,
     ack = 2,
-    /// Asks the receiver to ping `target` and to relay the answer.
+    /// Requests that the receiver pings `target` and relays the `ack`.
     ping_request = 3,
     /// Carries gossip only.
     gossip = 4,
-    /// Hashes of the sender's member table; answered by `sync_members` where they differ.
+    /// Hashes of the sender's member table. The reply is `sync_members` for buckets that differ.
     sync_digest = 5,
     /// A part of a member table.
     sync_members = 6,
 };
 
-/// Text of an endpoint, or of several, in as few bytes as possible.
+/// Compact form of an endpoint.
 struct packed_endpoint {
     std::string address;
     std::uint16_t port = 0;
     MSGPACK_DEFINE(address, port);
 };
 
-/// A node's statement about itself, as passed on by others. Endpoints with an empty address have
+/// A node's statement about itself, which other nodes relay. Endpoints with an empty address have
 /// the address of `datagram`.
 struct member_record {
     base::node_id id;
@@ -57,18 +57,18 @@
                    operators, flags, weight, config_version);
 };
 
-/// A statement about another node: it is suspect, dead, or has left.
+/// A statement about another node: that it is suspect, is dead, or has left.
 struct member_accusation {
     base::node_id id;
     std::uint64_t generation = 0;
     std::uint64_t incarnation = 0;
     std::uint8_t state = 0;
-    /// Who found it so.
+    /// The node that made the statement.
     base::node_id accuser;
     MSGPACK_DEFINE(id, generation, incarnation, state, accuser);
 };
 
-/// The configuration version in force on a node, named by a hash of its id and generation.
+/// The active configuration version of a node, which a hash of its id and generation identifies.
 struct config_report {
     std::uint64_t member_hash = 0;
     base::config_version version;
@@ -77,7 +77,7 @@
 
 struct swim_datagram {
     std::uint8_t protocol = membership_protocol;
-    /// Hash of the cluster's name: a datagram of another cluster is dropped.
+    /// Hash of the cluster name. Datagrams of other clusters are dropped.
     std::uint32_t cluster = 0;
     swim_message_kind kind = swim_message_kind::gossip;
     std::uint64_t sequence = 0;
@@ -85,14 +85,14 @@
     std::uint64_t from_generation = 0;
     /// The sender's configuration version.
     base::config_version config_version;
-    /// `ping`: whom it is for (empty: anyone). `ping_request`: whom to ping.
+    /// `ping`: the receiver, or empty for any node. `ping_request`: the node to ping.
     base::node_id target;
     std::vector<member_record> records;
     std::vector<member_accusation> accusations;
     std::vector<config_report> reports;
-    /// `sync_digest`: one hash for each bucket of the table.
+    /// `sync_digest`: a hash for each bucket of the member table.
     std::vector<std::uint64_t> digests;
-    /// `sync_digest`: the receiver should answer with its own where they differ.
+    /// `sync_digest`: whether the receiver should reply with its own digest if they differ.
     bool wants_answer = false;
     MSGPACK_DEFINE(protocol, cluster, kind, sequence, from, from_generation, config_version, target,
                    records, accusations, reports, digests, wants_answer);
--- a/src/pearbarrow/wire/methods.h
+++ b/src/pearbarrow/wire/methods.h
@@ -1,6 +1,6 @@
 /// Numbers of the methods that nodes call on each other. A number is never reused.
 ///
-/// Names differ from those of the message types that they carry, since both are in this namespace.
+/// The names differ from those of the message types, since both are in this namespace.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 inline constexpr method_number journal_read_retained = 14;
 inline constexpr method_number journal_install = 15;
 inline constexpr method_number journal_status = 16;
-/// Gives up a corrupt replica, ordered by the repair of its shard's owner.
+/// Discards a corrupt replica, called by the repair of the shard's owner.
 inline constexpr method_number journal_reset = 17;
 
 /// Program owner, called by gateways and by owners of parent and child programs.
@@ -37,37 +37,37 @@
 /// Configuration log, called by every node.
 inline constexpr method_number config_fetch = 40;
 
-/// Hand-over of shards on a planned stop.
+/// Transfer of shards for a planned stop.
 inline constexpr method_number ownership_offer = 50;
 inline constexpr method_number ownership_locate = 51;
-/// Which of some programs have ended, asked of a shard's owner.
+/// Queries which of a set of programs have ended, sent to a shard's owner.
 inline constexpr method_number programs_ended = 52;
 
-/// An operator's order to a node, passed on by the node that took it.
+/// An operator's command to a node, relayed by the node that received it.
 inline constexpr method_number node_drain = 60;
 
-/// What a peer knows of routes, back ends and storage members that the asking node does not.
+/// Long poll for changes of routes, back ends and storage members that the caller does not have.
 inline constexpr method_number directory_watch = 80;
-/// Parts of the list of back ends, asked of a peer whose list differs.
+/// Parts of the list of back ends, fetched from a peer whose list differs.
 inline constexpr method_number directory_parts = 81;
-/// A look at the outside service, by a node that the service turns away asked of a peer.
+/// A poll of the directory service through a peer, called by a node that the service rejects.
 inline constexpr method_number directory_look = 82;
 
-/// Storage of turns, called by nodes that forward requests and by other storage members.
+/// Storage of turns, called by edges and by other storage members.
 inline constexpr method_number turn_reserve = 90;
 inline constexpr method_number turn_read = 91;
 inline constexpr method_number turn_finish = 92;
 inline constexpr method_number turn_list = 93;
 inline constexpr method_number turn_fetch = 94;
 inline constexpr method_number turn_usage = 95;
-/// One of the above, passed on by a node that reaches the member.
+/// One of the preceding calls, relayed by a node that can reach the member.
 inline constexpr method_number turn_relay = 96;
-/// What nodes have reported of their load, asked by storage members of other replica groups.
+/// The load reports of nodes, pulled by storage members of other replica groups.
 inline constexpr method_number load_pull = 97;
 
-/// Whether a tenant's limit holds one more request, asked of the storage members that count it.
+/// Grant of one request under a tenant's limit, by the storage members that enforce it.
 inline constexpr method_number tenant_quota = 100;
-/// Whether a back end that has just started bears one more request, asked in the same way.
+/// Permit for one request to a back end that has just started, granted in the same way.
 inline constexpr method_number start_permit = 101;
 
 }  // namespace pearbarrow::wire
