--- a/src/pearbarrow/fleet/directory_copy.cc
+++ b/src/pearbarrow/fleet/directory_copy.cc
@@ -8,16 +8,16 @@
 namespace pearbarrow::fleet {
 namespace {
 
-/// The entry that holds the list's revision; no id of a back end is empty.
+/// Key of the entry that holds the revision of the list. No back end has an empty id.
 constexpr char revision_entry[] = "";
 
-void note_unreadable(const absl::Status& status) {
+void log_unreadable(const absl::Status& status) {
     base::log(base::log_level::error, "directory_copy_unreadable", base::log_fields(status));
 }
 
 }  // namespace
 
-void directory_copy::keep(const directory::directory_state::changes& changed,
+void directory_copy::save(const directory::directory_state::changes& changed,
                           const directory::directory_state& known) {
     turns::store_change change;
     if (changed.config || changed.storage || changed.retirements || changed.emptied_zones) {
@@ -25,8 +25,8 @@
         change.directory = wire::encode(known.newer_than(
             {.backends = versions.backends, .backends_digest = versions.backends_digest}));
     }
-    for (const directory::backend& one : changed.step.present) {
-        change.directory_entries.push_back({.key = one.id, .value = wire::encode(one)});
+    for (const directory::backend& backend : changed.step.present) {
+        change.directory_entries.push_back({.key = backend.id, .value = wire::encode(backend)});
     }
     for (const std::string& id : changed.step.gone) {
         change.directory_entries.push_back({.key = id, .value = {}});
@@ -36,19 +36,19 @@
             {.key = revision_entry, .value = wire::encode(known.versions().backends)});
     }
     this->store.write(std::move(change), [](const absl::Status& /*status*/) {
-        // The store says in its own log that it can't write; the next change is tried again.
+        // The store logs a failed write itself, and the next change is written again.
     });
 }
 
-directory::directory_update directory_copy::recall() const {
-    const std::string kept = this->store.read_directory();
+directory::directory_update directory_copy::load() const {
+    const std::string stored = this->store.read_directory();
     directory::directory_update update;
-    if (!kept.empty()) {
-        auto others = wire::decode<directory::directory_update>(kept);
-        if (others.ok()) {
-            update = *std::move(others);
+    if (!stored.empty()) {
+        auto other_parts = wire::decode<directory::directory_update>(stored);
+        if (other_parts.ok()) {
+            update = *std::move(other_parts);
         } else {
-            note_unreadable(others.status());
+            log_unreadable(other_parts.status());
         }
     }
     directory::backend_list list;
@@ -57,14 +57,14 @@
             list.revision = wire::decode<std::uint64_t>(entry.value).value_or(0);
             continue;
         }
-        auto one = wire::decode<directory::backend>(entry.value);
-        if (one.ok()) {
-            list.backends[entry.key] = *std::move(one);
+        auto backend = wire::decode<directory::backend>(entry.value);
+        if (backend.ok()) {
+            list.backends[entry.key] = *std::move(backend);
         } else {
-            note_unreadable(one.status());
+            log_unreadable(backend.status());
         }
     }
-    // An earlier build kept the list whole, beside the rest: whichever is newer holds.
+    // An earlier build stored the whole list with the other parts. The newer of both lists applies.
     if (list.revision > 0) {
         update.backends.push_back(std::move(list));
     }
--- a/src/pearbarrow/fleet/directory_copy.h
+++ b/src/pearbarrow/fleet/directory_copy.h
@@ -1,8 +1,9 @@
-/// What a storage member keeps of the directory on its disk: after a loss of power while the
-/// outside service is down, this is all that anyone knows.
+/// The copy of the directory that a storage member keeps on its disk. After a power failure while
+/// the directory service is down, no other copy of the directory exists.
 ///
-/// Back ends are kept one by one, so that a change writes what has changed: of 10,000 back ends a
-/// list is 1 MB, and tens of them change every second while a service is released.
+/// Back ends are stored one by one, so that a change writes only the entries that it affects: a
+/// list of 10,000 back ends has 1 MB, and tens of them change every second during the release of a
+/// service.
 #pragma once
 
 #include "pearbarrow/directory/directory_state.h"
@@ -12,14 +13,14 @@
 
 class directory_copy {
   public:
-    /// `store` must live as long.
+    /// `store` must outlive this object.
     explicit directory_copy(turns::turn_store& store) : store(store) {}
 
-    /// Writes what has changed. `known`: the directory after the change.
-    void keep(const directory::directory_state::changes& changed,
+    /// Writes the changed parts. `known` is the directory after the change.
+    void save(const directory::directory_state::changes& changed,
               const directory::directory_state& known);
-    /// What was kept; empty when nothing was.
-    directory::directory_update recall() const;
+    /// Returns the stored directory, or an empty update if there is none.
+    directory::directory_update load() const;
 
   private:
     turns::turn_store& store;
--- a/src/pearbarrow/fleet/edge_node.cc
+++ b/src/pearbarrow/fleet/edge_node.cc
@@ -10,26 +10,26 @@
 namespace pearbarrow::fleet {
 namespace {
 
-/// How long new connections are still taken after the order to stop: whoever sends callers here
-/// asks for readiness once a second, and acts on the second refusal.
-constexpr base::milliseconds notice_time{2'600};
-constexpr base::milliseconds idle_check{50};
-/// How soon after a gap in hearing of changes back ends count as cold.
-constexpr base::milliseconds hearing_check{100};
-/// Kept back from the stop timeout for the process to end.
+/// How long the node accepts new connections after the order to stop. Load balancers poll readiness
+/// once a second, and act on the second failure.
+constexpr base::milliseconds drain_notice{2'600};
+constexpr base::milliseconds idle_poll_interval{50};
+/// Interval for detecting the end of a gap in updates, after which back ends count as cold.
+constexpr base::milliseconds gap_poll_interval{100};
+/// Part of the stop timeout that is reserved for the exit of the process.
 constexpr base::milliseconds exit_margin{400};
 
-/// A caller that takes none of its answer for so long is given up: longer than a burst of losses on
-/// its way, and not so long that its back end's place is lost to others for the rest of a deadline.
-constexpr base::milliseconds slow_reader_time{5'000};
+/// Timeout for a caller that reads nothing of its response. It is longer than a burst of packet
+/// losses, and short enough that the back end's slot is not occupied for the rest of a deadline.
+constexpr base::milliseconds caller_write_timeout{5'000};
 
 net::http_client_options client_options(const node_parts& parts) {
     net::http_client_options options;
     options.held = parts.held();
     options.max_idle_connections_per_server = 8;
-    // A node of a large fleet comes back to an engine every 4 s in the mean: with 4 s 22,900
-    // connections were opened for 95,600 requests, with 9 s and an even draw among equal back
-    // ends 16,500 for 98,000 (one day each).
+    // A node of a large fleet sends to the same engine every 4 s on average. An idle lifetime of
+    // 4 s leads to 22,900 connections for 95,600 requests, and 9 s with an even choice among equal
+    // back ends to 16,500 for 98,000.
     options.idle_lifetime = base::milliseconds{9'000};
     return options;
 }
@@ -41,7 +41,7 @@
     options.regions = settings.regions;
     options.choice =
         settings.dispatch.by_cost ? forward::choice_kind::cost : forward::choice_kind::load;
-    // A back end that did leave must get nothing once its notice is over.
+    // A back end that has left must not get requests after its notice has expired.
     options.lapse_grace = std::min<base::milliseconds>(settings.dispatch.lapse_grace,
                                                        settings.leaving_notice * 9 / 10);
     return options;
@@ -54,8 +54,8 @@
             .share_load = settings.dispatch.share_load};
 }
 
-std::unique_ptr<forward::program_gate> make_gate(const settings::fleet_settings& settings,
-                                                 base::random_source& random) {
+std::unique_ptr<forward::program_gate> make_admission(const settings::fleet_settings& settings,
+                                                      base::random_source& random) {
     return settings.dispatch.bounds_programs ? forward::make_learning_gate({}, random)
                                              : forward::make_open_gate();
 }
@@ -64,7 +64,7 @@
     net::http_server_options options;
     options.listen = to_endpoint(parts.settings().caller);
     options.held = parts.held();
-    options.write_timeout = slow_reader_time;
+    options.write_timeout = caller_write_timeout;
     options.max_pending_bytes = std::size_t{4} * 1024 * 1024;
     options.max_receiving_bytes = std::size_t{24} * 1024 * 1024;
     return options;
@@ -74,13 +74,13 @@
 
 edge_node::edge_node(net::event_loop& loop, const base::clock& clock,
                      const settings::fleet_settings& settings, forward::forward_options options)
-    : parts_(loop, clock, settings, [this](const auto& changed) { take_changes(changed); }),
+    : parts_(loop, clock, settings, [this](const auto& changed) { apply_changes(changed); }),
       log_(clock, parts_.metrics(), {}),
       client_(net::make_http_client(loop, client_options(parts_))),
       places_(settings.regions),
       pool_(pool_options(settings), parts_.random()),
       load_(clock, pool_, reporter_options(settings, parts_.random())),
-      gate_(make_gate(settings, parts_.random())),
+      admission_(make_admission(settings, parts_.random())),
       relay_(parts_.rpc(), [this](std::uint32_t group) { return members_.is_cut(group); }),
       members_(loop, parts_.rpc(), clock, {}, [this] { return relay_peer(); }),
       turns_(loop, clock, members_, {.loads = &load_, .zone = settings.zone}),
@@ -94,7 +94,7 @@
                .pool = pool_,
                .turns = turns_,
                .quotas = quotas_,
-               .gate = *gate_,
+               .gate = *admission_,
                .log = log_,
                .options = std::move(options),
                .active = nullptr,
@@ -127,9 +127,10 @@
                                      });
     net::http_server_options ready_options;
     ready_options.listen = to_endpoint(parts_.settings().ready);
-    ready_ = net::make_http_server(
-        parts_.loop(), ready_options,
-        [this](const std::shared_ptr<net::http_exchange>& exchange) { answer_ready(exchange); });
+    ready_ = net::make_http_server(parts_.loop(), ready_options,
+                                   [this](const std::shared_ptr<net::http_exchange>& exchange) {
+                                       respond_readiness(exchange);
+                                   });
     if (auto status = callers_->start(); !status.ok()) {
         return status;
     }
@@ -140,23 +141,23 @@
 }
 
 bool edge_node::is_ready() const {
-    // Without the list of back ends it could only refuse: 55 nodes that had started together did
-    // so for up to 2 s, and programs whose tries met several of them were lost (985 nodes, one
-    // play).
-    return !stopping_ && service_.is_configured() && places_.knows_emptied() && knows_backends_;
+    // Without the list of back ends the node can only reject requests. In a fleet of 985 nodes, 55
+    // nodes that started together did so for up to 2 s, and programs whose retries reached several
+    // of them failed.
+    return !stopping_ && service_.is_configured() && places_.knows_emptied() && has_backends_;
 }
 
-void edge_node::answer_ready(const std::shared_ptr<net::http_exchange>& exchange) const {
+void edge_node::respond_readiness(const std::shared_ptr<net::http_exchange>& exchange) const {
     exchange->respond({.status = is_ready() ? 200 : 503, .headers = {}, .body = {}});
 }
 
-void edge_node::take_changes(const directory::directory_state::changes& changed) {
+void edge_node::apply_changes(const directory::directory_state::changes& changed) {
     const directory::snapshot& known = parts_.directory().state().current();
     if (changed.config) {
         service_.set_configuration(*known.config);
         cold_.set_configuration(*known.config);
-        check_hearing();
-        regions_bind_ = places::binds_regions(*known.config);
+        update_gap_polling();
+        regions_restricted_ = places::binds_regions(*known.config);
         members_.forget_relay();
         const directory::traffic_limits& limits = known.config->limits;
         callers_->set_limits(
@@ -165,11 +166,11 @@
     }
     if (changed.emptied_zones) {
         places_.set_emptied(*known.emptied_zones, parts_.clock().now());
-        log_emptied(*known.emptied_zones);
+        log_emptied_zones(*known.emptied_zones);
         cold_.set_emptied_zones(*known.emptied_zones, parts_.clock().now());
     }
     if (changed.backends) {
-        knows_backends_ = true;
+        has_backends_ = true;
         cold_.apply(changed.step, parts_.clock().now());
         pool_.apply(changed.step, parts_.clock().now());
     }
@@ -180,23 +181,23 @@
         quotas_.set_view(*known.storage);
         permit_client_.set_view(*known.storage);
     }
-    if ((changed.config || changed.storage) && regions_bind_ && known.storage.has_value()) {
-        log_closed_storage(places_, *known.config, *known.storage);
+    if ((changed.config || changed.storage) && regions_restricted_ && known.storage.has_value()) {
+        log_unpermitted_storage(places_, *known.config, *known.storage);
     }
 }
 
-/// A fleet whose back ends are never cold has nothing to look for ten times a second.
-void edge_node::check_hearing() {
+/// A fleet without cold rates needs no timer that runs ten times a second.
+void edge_node::update_gap_polling() {
     if (!cold_.is_needed()) {
-        hearing_check_ = nullptr;
-    } else if (hearing_check_ == nullptr) {
-        hearing_check_ = parts_.loop().every(hearing_check, [this] { watch_hearing(); });
+        gap_poll_timer_ = nullptr;
+    } else if (gap_poll_timer_ == nullptr) {
+        gap_poll_timer_ = parts_.loop().every(gap_poll_interval, [this] { poll_update_gap(); });
     }
 }
 
-void edge_node::watch_hearing() {
-    const bool heard_peers = std::exchange(hears_peers_, parts_.directory().is_connected());
-    if (!heard_peers && hears_peers_) {
+void edge_node::poll_update_gap() {
+    const bool was_connected = std::exchange(is_connected_, parts_.directory().is_connected());
+    if (!was_connected && is_connected_) {
         cold_.note_gap(parts_.clock().now());
     }
 }
@@ -224,7 +225,7 @@
         .add_gauge("pearbarrow_turns_turned_away_total",
                    "Turns refused since the storage members have too much to do")
         .set(static_cast<double>(admission.turned_away));
-    collect_places(registry, places_, pool_);
+    collect_zone_rules(registry, places_, pool_);
     const base::instant now = parts_.clock().now();
     registry
         .add_gauge("pearbarrow_dispatch_load_known",
@@ -248,8 +249,8 @@
 }
 
 net::endpoint edge_node::relay_peer() {
-    if (regions_bind_) {
-        // Calls hold texts, and a peer's region is not known.
+    if (regions_restricted_) {
+        // Calls contain texts, and the region of a peer is unknown.
         return {};
     }
     const auto& storage = parts_.directory().state().current().storage;
@@ -264,22 +265,22 @@
         return;
     }
     stopping_ = true;
-    stopped_ = std::move(done);
-    stop_by_ = parts_.clock().now() + parts_.settings().stop_timeout - exit_margin;
+    on_stopped_ = std::move(done);
+    stop_deadline_ = parts_.clock().now() + parts_.settings().stop_timeout - exit_margin;
     callers_->begin_closing();
-    stop_step_ = parts_.loop().after(notice_time, [this] {
+    stop_timer_ = parts_.loop().after(drain_notice, [this] {
         callers_->stop_accepting();
-        end_when_idle();
+        finish_when_idle();
     });
 }
 
-void edge_node::end_when_idle() {
+void edge_node::finish_when_idle() {
     const bool idle = callers_->open_exchanges() == 0;
-    if (idle || parts_.clock().now() >= stop_by_) {
-        stopped_();
+    if (idle || parts_.clock().now() >= stop_deadline_) {
+        on_stopped_();
         return;
     }
-    stop_step_ = parts_.loop().after(idle_check, [this] { end_when_idle(); });
+    stop_timer_ = parts_.loop().after(idle_poll_interval, [this] { finish_when_idle(); });
 }
 
 }  // namespace pearbarrow::fleet
--- a/src/pearbarrow/fleet/edge_node.h
+++ b/src/pearbarrow/fleet/edge_node.h
@@ -1,4 +1,4 @@
-/// An edge: takes callers' requests and forwards them. Keeps nothing that matters.
+/// An edge: receives callers' requests and forwards them. An edge has no persistent state.
 #pragma once
 
 #include <functional>
@@ -26,22 +26,22 @@
     edge_node& operator=(const edge_node&) = delete;
 
     absl::Status start();
-    /// Stops in good order: not ready at once, still serving until callers have been told to go
-    /// elsewhere, then what is under way ends. `done` runs once.
+    /// Shuts down gracefully: reports not ready at once, accepts requests until callers have been
+    /// redirected, then waits for the requests in flight. Calls `done` once.
     void stop(std::function<void()> done);
     bool is_ready() const;
     node_parts& parts() { return parts_; }
 
   private:
-    void take_changes(const directory::directory_state::changes& changed);
-    void answer_ready(const std::shared_ptr<net::http_exchange>& exchange) const;
-    void end_when_idle();
+    void apply_changes(const directory::directory_state::changes& changed);
+    void respond_readiness(const std::shared_ptr<net::http_exchange>& exchange) const;
+    void finish_when_idle();
     void collect(base::metrics_registry& registry) const;
-    /// Looks for gaps in hearing of changes, where it matters.
-    void check_hearing();
-    /// Notes when news come again after a time without any.
-    void watch_hearing();
-    /// A node through which storage members may be reached.
+    /// Starts or stops polling for gaps in updates. Only services with a cold rate need it.
+    void update_gap_polling();
+    /// Records the end of a time without updates.
+    void poll_update_gap();
+    /// Returns a node that can relay calls to storage members.
     net::endpoint relay_peer();
 
     node_parts parts_;
@@ -49,13 +49,13 @@
     std::unique_ptr<net::http_client> client_;
     places::place_rules places_;
     slowstart::cold_table cold_;
-    bool hears_peers_ = false;
-    std::unique_ptr<net::timer_handle> hearing_check_;
-    /// Some route or tenant is permitted some regions only.
-    bool regions_bind_ = false;
+    bool is_connected_ = false;
+    std::unique_ptr<net::timer_handle> gap_poll_timer_;
+    /// Whether some route or tenant is restricted to some regions.
+    bool regions_restricted_ = false;
     forward::backend_pool pool_;
     forward::load_reporter load_;
-    std::unique_ptr<forward::program_gate> gate_;
+    std::unique_ptr<forward::program_gate> admission_;
     turns::call_relay relay_;
     turns::relaying_caller members_;
     turns::turn_client turns_;
@@ -66,11 +66,11 @@
     forward::forward_service service_;
     std::unique_ptr<net::http_server> callers_;
     std::unique_ptr<net::http_server> ready_;
-    std::unique_ptr<net::timer_handle> stop_step_;
-    std::function<void()> stopped_;
-    base::instant stop_by_{};
-    /// The list of back ends has come; it may be empty.
-    bool knows_backends_ = false;
+    std::unique_ptr<net::timer_handle> stop_timer_;
+    std::function<void()> on_stopped_;
+    base::instant stop_deadline_{};
+    /// Whether the list of back ends has arrived. It may be empty.
+    bool has_backends_ = false;
     bool stopping_ = false;
 };
 
--- a/src/pearbarrow/fleet/node_gauges.cc
+++ b/src/pearbarrow/fleet/node_gauges.cc
@@ -9,7 +9,7 @@
 namespace pearbarrow::fleet {
 namespace {
 
-/// Of this process, in bytes; 0 when the kernel does not tell.
+/// Returns the resident memory of this process in bytes, or 0 if the kernel does not report it.
 double resident_bytes() {
     std::ifstream file("/proc/self/statm");
     double total_pages = 0;
@@ -27,28 +27,28 @@
 node_gauges::node_gauges(base::metrics_registry& registry, const base::clock& clock)
     : registry(registry),
       clock(clock),
-      config_at(clock.now()),
-      backends_at(this->config_at),
-      storage_at(this->config_at) {}
+      config_changed_at(clock.now()),
+      backends_changed_at(this->config_changed_at),
+      storage_changed_at(this->config_changed_at) {}
 
-void node_gauges::note_changes(const directory::directory_state::changes& changed) {
+void node_gauges::record_changes(const directory::directory_state::changes& changed) {
     const base::instant now = this->clock.now();
     if (changed.config) {
-        this->config_at = now;
+        this->config_changed_at = now;
     }
     if (changed.backends) {
-        this->backends_at = now;
+        this->backends_changed_at = now;
     }
     if (changed.storage) {
-        this->storage_at = now;
+        this->storage_changed_at = now;
     }
 }
 
 std::string node_gauges::text() {
     this->registry.add_gauge("pearbarrow_resident_bytes", "Memory that the process holds")
         .set(resident_bytes());
-    for (const collector& one : this->collectors) {
-        one(this->registry);
+    for (const collector& collect : this->collectors) {
+        collect(this->registry);
     }
     return this->registry.text();
 }
@@ -66,9 +66,9 @@
                        "Time since the part changed on this node", {{"part", part}})
             .set(seconds_between(at, now));
     };
-    set("configuration", versions.config, this->config_at);
-    set("backends", versions.backends, this->backends_at);
-    set("storage", versions.storage, this->storage_at);
+    set("configuration", versions.config, this->config_changed_at);
+    set("backends", versions.backends, this->backends_changed_at);
+    set("storage", versions.storage, this->storage_changed_at);
     this->registry.add_gauge("pearbarrow_directory_peers", "Nodes that this one has heard of")
         .set(static_cast<double>(exchange.peer_count()));
     this->registry
@@ -95,21 +95,21 @@
     }
 }
 
-void node_gauges::collect_held(const net::held_bytes& held) {
+void node_gauges::collect_buffered_bytes(const net::held_bytes& buffered) {
     for (const net::holding kind : {net::holding::answers, net::holding::requests,
                                     net::holding::frames, net::holding::bodies}) {
         this->registry
             .add_gauge("pearbarrow_held_bytes", "Bytes held for others, by what they are",
                        {{"kind", std::string(net::to_string(kind))}})
-            .set(static_cast<double>(held.of(kind)));
+            .set(static_cast<double>(buffered.of(kind)));
     }
     this->registry
         .add_gauge("pearbarrow_held_bytes_bound", "Most bytes held for others; 0: no bound")
-        .set(static_cast<double>(held.bound()));
+        .set(static_cast<double>(buffered.bound()));
     this->registry
         .add_gauge("pearbarrow_held_cut_off_total",
                    "Connections cut off since the node held as many bytes as it may")
-        .set(static_cast<double>(held.cut_off_count()));
+        .set(static_cast<double>(buffered.cut_off_count()));
 }
 
 void node_gauges::collect_traffic(const forward::backend_traffic& traffic) {
--- a/src/pearbarrow/fleet/node_gauges.h
+++ b/src/pearbarrow/fleet/node_gauges.h
@@ -1,4 +1,4 @@
-/// Figures of a fleet node that are read when somebody asks for them.
+/// Gauges of a fleet node that are updated when the metrics are read.
 #pragma once
 
 #include <functional>
@@ -15,32 +15,32 @@
 
 class node_gauges {
   public:
-    /// Sets gauges of the registry to what holds now.
+    /// Sets gauges of the registry to their current values.
     using collector = std::function<void(base::metrics_registry&)>;
 
     node_gauges(base::metrics_registry& registry, const base::clock& clock);
 
-    void add(collector one) { this->collectors.push_back(std::move(one)); }
-    /// Keeps the time at which parts of the directory changed.
-    void note_changes(const directory::directory_state::changes& changed);
-    /// All metrics in the Prometheus text format, as of now.
+    void add(collector added) { this->collectors.push_back(std::move(added)); }
+    /// Records the time at which parts of the directory changed.
+    void record_changes(const directory::directory_state::changes& changed);
+    /// Returns all current metrics in the Prometheus text format.
     std::string text();
 
-    /// Versions, their age, and whether peers answer.
+    /// Collects the versions of the directory, their age, and whether a peer is connected.
     void collect_directory(const directory::directory_exchange& exchange);
     void collect_traffic(const net::peer_rpc& rpc);
-    /// Bytes held for others, and how many of these were cut off for the memory that they took.
-    void collect_held(const net::held_bytes& held);
-    /// Bytes to and from back ends, by how far these are.
+    /// Collects the buffered bytes, and the connections that were closed to limit them.
+    void collect_buffered_bytes(const net::held_bytes& buffered);
+    /// Collects the bytes to and from back ends, by distance.
     void collect_traffic(const forward::backend_traffic& traffic);
 
   private:
     base::metrics_registry& registry;
     const base::clock& clock;
     std::vector<collector> collectors;
-    base::instant config_at;
-    base::instant backends_at;
-    base::instant storage_at;
+    base::instant config_changed_at;
+    base::instant backends_changed_at;
+    base::instant storage_changed_at;
 };
 
 }  // namespace pearbarrow::fleet
--- a/src/pearbarrow/fleet/node_parts.cc
+++ b/src/pearbarrow/fleet/node_parts.cc
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr char cluster_name[] = "pearbarrow-fleet";
-/// Of the machine's memory, for bytes held for others: a process at rest takes a quarter of the
-/// smallest machines (22 of 88 MB, the most seen of an edge in a day), and a connection's buffers
-/// and the allocator's gaps come on top of what is counted.
-constexpr double held_part_of_memory = 1.0 / 3;
+/// Fraction of the machine's memory that is available for buffered bytes. An idle process occupies
+/// a quarter of the smallest machines (an edge up to 22 of 88 MB in a day), and the buffers of
+/// connections and the fragmentation of the allocator add to the counted bytes.
+constexpr double buffered_memory_fraction = 1.0 / 3;
 constexpr std::size_t bytes_per_megabyte = std::size_t{1024} * 1024;
 
-net::held_bytes_options held_options(const settings::fleet_settings& settings) {
+net::held_bytes_options buffered_options(const settings::fleet_settings& settings) {
     const auto memory = static_cast<double>(settings.memory_mb * bytes_per_megabyte);
-    return {.bound = static_cast<std::size_t>(memory * held_part_of_memory)};
+    return {.bound = static_cast<std::size_t>(memory * buffered_memory_fraction)};
 }
 
 net::peer_rpc_options link_options(const settings::fleet_settings& settings,
@@ -29,7 +29,8 @@
     options.distance_of = distances_from(settings);
     options.listen = to_endpoint(settings.peer);
     options.connect_timeout = base::milliseconds{500};
-    // Some round trips between zones and a peer's pause of a tenth of a second (a spent quota).
+    // Allows some round trips between zones and a pause of a tenth of a second at the peer, which
+    // an exhausted CPU quota causes.
     options.first_connect_timeout = base::milliseconds{120};
     options.silence_before_probe = base::milliseconds{400};
     options.silence_before_loss = base::milliseconds{1'200};
@@ -59,12 +60,12 @@
       settings_(settings),
       random_(base::random_source::system_seed()),
       gauges_(metrics_, clock),
-      held_(std::make_shared<net::held_bytes>(held_options(settings))),
+      held_(std::make_shared<net::held_bytes>(buffered_options(settings))),
       rpc_(net::make_peer_rpc(loop, link_options(settings, held_))),
       exchange_(std::make_unique<directory::directory_exchange>(
           loop, *rpc_, random_, exchange_options(settings),
           [this, on_change = std::move(on_change)](const auto& changed) {
-              gauges_.note_changes(changed);
+              gauges_.record_changes(changed);
               count_changes(changed);
               on_change(changed);
           })),
@@ -73,7 +74,7 @@
     gauges_.add([this](auto&) {
         gauges_.collect_directory(*exchange_);
         gauges_.collect_traffic(*rpc_);
-        gauges_.collect_held(*held_);
+        gauges_.collect_buffered_bytes(*held_);
     });
 }
 
--- a/src/pearbarrow/fleet/node_parts.h
+++ b/src/pearbarrow/fleet/node_parts.h
@@ -1,4 +1,4 @@
-/// What both kinds of fleet node are made of: loop, links, directory, metrics.
+/// The parts that edges and storage members share: event loop, links, directory and metrics.
 #pragma once
 
 #include <functional>
@@ -32,9 +32,9 @@
     node_parts(const node_parts&) = delete;
     node_parts& operator=(const node_parts&) = delete;
 
-    /// Opens the links and the metrics address. Register every peer method before.
+    /// Opens the links and the metrics listener. Peer methods must be registered before.
     absl::Status start();
-    /// Takes what may change while the node runs: the seeds.
+    /// Applies the settings that may change at run time.
     void take_settings(const settings::fleet_settings& next);
 
     net::event_loop& loop() { return loop_; }
@@ -43,7 +43,7 @@
     base::metrics_registry& metrics() { return metrics_; }
     node_gauges& gauges() { return gauges_; }
     net::peer_rpc& rpc() { return *rpc_; }
-    /// What the node holds for callers, back ends and peers.
+    /// Returns the account of the bytes that the node buffers for callers, back ends and peers.
     const std::shared_ptr<net::held_bytes>& held() const { return held_; }
     directory::directory_exchange& directory() { return *exchange_; }
     const settings::fleet_settings& settings() const { return settings_; }
--- a/src/pearbarrow/fleet/place_gauges.cc
+++ b/src/pearbarrow/fleet/place_gauges.cc
@@ -6,8 +6,8 @@
 
 namespace pearbarrow::fleet {
 
-void collect_places(base::metrics_registry& registry, const places::place_rules& rules,
-                    const forward::backend_pool& pool) {
+void collect_zone_rules(base::metrics_registry& registry, const places::place_rules& rules,
+                        const forward::backend_pool& pool) {
     registry
         .add_gauge("pearbarrow_places_known", "1 once the node has heard which zones are emptied")
         .set(rules.knows_emptied() ? 1 : 0);
@@ -19,32 +19,34 @@
         .set(pool.requests_in_emptied());
 }
 
-void log_emptied(const directory::emptied_zone_list& list) {
+void log_emptied_zones(const directory::emptied_zone_list& list) {
     nlohmann::json zones = nlohmann::json::object();
-    for (const directory::emptied_zone& one : list.zones) {
-        zones[one.zone] = one.since;
+    for (const directory::emptied_zone& emptied : list.zones) {
+        zones[emptied.zone] = emptied.since;
     }
     base::log(base::log_level::info, "emptied_zones_changed",
               {{"revision", list.revision}, {"since_by_zone", zones}});
 }
 
-void log_closed_storage(const places::place_rules& rules, const directory::configuration& config,
-                        const directory::storage_view& view) {
+void log_unpermitted_storage(const places::place_rules& rules,
+                             const directory::configuration& config,
+                             const directory::storage_view& view) {
     for (const directory::route& route : config.routes) {
         if (!route.keeps_history || route.permitted_regions.empty()) {
             continue;
         }
-        std::uint32_t closed = 0;
+        std::uint32_t unpermitted = 0;
         for (std::uint32_t group = 0; group < view.groups; ++group) {
             const directory::storage_view members = turns::members_of(view, group);
             const auto verdict = places::judge_storage(
                 rules, {.route_regions = route.permitted_regions, .tenant_regions = {}},
                 members.members);
-            closed += verdict == places::place_verdict::permitted ? 0 : 1;
+            unpermitted += verdict == places::place_verdict::permitted ? 0 : 1;
         }
-        if (closed > 0) {
-            base::log(base::log_level::warning, "storage_regions_missing",
-                      {{"route", route.name}, {"groups_closed", closed}, {"groups", view.groups}});
+        if (unpermitted > 0) {
+            base::log(
+                base::log_level::warning, "storage_regions_missing",
+                {{"route", route.name}, {"groups_closed", unpermitted}, {"groups", view.groups}});
         }
     }
 }
--- a/src/pearbarrow/fleet/place_gauges.h
+++ b/src/pearbarrow/fleet/place_gauges.h
@@ -1,4 +1,4 @@
-/// What an edge tells operators of emptied zones.
+/// Metrics and log lines of an edge about emptied zones and permitted regions.
 #pragma once
 
 #include "pearbarrow/base/metrics.h"
@@ -8,13 +8,14 @@
 
 namespace pearbarrow::fleet {
 
-void collect_places(base::metrics_registry& registry, const places::place_rules& rules,
-                    const forward::backend_pool& pool);
-/// One line for each change of the zones.
-void log_emptied(const directory::emptied_zone_list& list);
+void collect_zone_rules(base::metrics_registry& registry, const places::place_rules& rules,
+                        const forward::backend_pool& pool);
+/// Logs one line for each change of the emptied zones.
+void log_emptied_zones(const directory::emptied_zone_list& list);
 
-/// One line for each route whose turns no replica group, or not every one, may keep.
-void log_closed_storage(const places::place_rules& rules, const directory::configuration& config,
-                        const directory::storage_view& view);
+/// Logs one line for each route whose turns some or all replica groups are not permitted to store.
+void log_unpermitted_storage(const places::place_rules& rules,
+                             const directory::configuration& config,
+                             const directory::storage_view& view);
 
 }  // namespace pearbarrow::fleet
--- a/src/pearbarrow/fleet/settings_reload.h
+++ b/src/pearbarrow/fleet/settings_reload.h
@@ -1,4 +1,4 @@
-/// Takes changes of a node's settings file while the node runs.
+/// Applies changes of a node's settings file at run time.
 #pragma once
 
 #include <filesystem>
@@ -12,16 +12,16 @@
 
 namespace pearbarrow::fleet {
 
-/// Fields that differ, by what a running node can do about them.
+/// Names of changed fields, by whether a running node can apply them.
 struct settings_difference {
-    std::vector<std::string> taken;
+    std::vector<std::string> applied;
     std::vector<std::string> need_restart;
 };
 
 settings_difference compare(const settings::fleet_settings& current,
                             const settings::fleet_settings& next);
 
-/// Invariant: a file with a mistake changes nothing.
+/// Invariant: an invalid file changes no setting.
 class settings_reload {
   public:
     using apply_handler = std::function<void(const settings::fleet_settings&)>;
@@ -29,11 +29,11 @@
     settings_reload(net::event_loop& loop, std::string file, settings::fleet_settings current,
                     apply_handler apply);
 
-    /// Reads the file now, and tells in the log what came of it.
+    /// Reads the file and logs the result.
     void reload();
 
   private:
-    void look();
+    void poll();
 
     std::string file;
     settings::fleet_settings current;
--- a/src/pearbarrow/fleet/storage_node.cc
+++ b/src/pearbarrow/fleet/storage_node.cc
@@ -14,45 +14,45 @@
 namespace {
 
 constexpr char store_folder[] = "/turns";
-/// Part of the operator's slack that shares hold beyond the burst; the rest is for members that
-/// start and for those that have been replaced.
-constexpr double extra_part = 0.6;
+/// Fraction of the operator's slack that shares hold beyond the burst. The rest covers members that
+/// start and members that have been replaced.
+constexpr double extra_fraction = 0.6;
 
 tenants::quota_options quota_options(const settings::fleet_settings& settings) {
     tenants::quota_options options{.self = settings.node};
-    options.extra = extra_part * static_cast<double>(settings.quota_slack) /
+    options.extra = extra_fraction * static_cast<double>(settings.quota_slack) /
                     static_cast<double>(tenants::quota_shares);
     options.window = settings.quota_window;
     return options;
 }
 
-/// How long a program may rest and come back: as long as its turns are kept, and some more for the
-/// turn that is under way when it rests last (a turn's time-out is some seconds). None where a
-/// route of streams doesn't say. With 600 s for all, a member would keep 300,000 reservations at
-/// 500 turns a second (calculated); with the 60 s of the measured routes, 38 MB with the turns'
-/// index (an hour of virtual time), of the 120 MB of the smallest.
-std::optional<base::seconds> rest_of_programs(const directory::configuration& config) {
-    constexpr base::seconds longest_turn{30};
-    double longest = 0;
+/// Returns how long a program may be idle and still continue: the retention of its turns, plus the
+/// duration of its last turn (a turn has a timeout of some seconds). Returns nothing if a streaming
+/// route has no retention. With 600 s for all programs, a member would hold 300,000 reservations at
+/// 500 turns per second. With routes of 60 s, the reservations and the index of the turns need 38
+/// MB of the 120 MB of the smallest machines.
+std::optional<base::seconds> max_program_idle_time(const directory::configuration& config) {
+    constexpr base::seconds max_turn_duration{30};
+    double max_retention = 0;
     for (const directory::route& route : config.routes) {
         const bool is_stream = route.kind == directory::request_kind::stream;
         if (is_stream && route.retention_seconds <= 0) {
             return std::nullopt;
         }
-        longest = std::max(longest, is_stream ? route.retention_seconds : 0);
+        max_retention = std::max(max_retention, is_stream ? route.retention_seconds : 0);
     }
-    if (longest <= 0) {
+    if (max_retention <= 0) {
         return std::nullopt;
     }
-    return base::seconds{static_cast<std::int64_t>(std::ceil(longest))} + longest_turn;
+    return base::seconds{static_cast<std::int64_t>(std::ceil(max_retention))} + max_turn_duration;
 }
 
 }  // namespace
 
 storage_node::storage_node(net::event_loop& loop, const base::clock& clock,
                            const settings::fleet_settings& settings)
-    : began_(clock.now()),
-      parts_(loop, clock, settings, [this](const auto& changed) { take_changes(changed); }),
+    : started_at_(clock.now()),
+      parts_(loop, clock, settings, [this](const auto& changed) { apply_changes(changed); }),
       start_limits_({.overage = settings.slow_start.overage, .slack = settings.slow_start.slack}) {}
 
 storage_node::~storage_node() = default;
@@ -66,7 +66,7 @@
     options.post = [this](std::function<void()> task) { parts_.loop().post(std::move(task)); };
     auto store = turns::open_rocksdb_turn_store(options);
     if (store.status().code() == absl::StatusCode::kDataLoss) {
-        // Begin as a new disk, which copies everything from the other members before it counts.
+        // Continue as a new disk, which copies all data from the other members before it may vote.
         base::log(base::log_level::error, "turn_store_discarded", base::log_fields(store.status()));
         std::error_code ignored;
         std::filesystem::remove_all(options.folder, ignored);
@@ -77,11 +77,11 @@
         return store.status();
     }
     store_ = *std::move(store);
-    copy_ = std::make_unique<directory_copy>(*store_);
+    directory_copy_ = std::make_unique<directory_copy>(*store_);
     return absl::OkStatus();
 }
 
-absl::Status storage_node::start(turns::storage_register& outside) {
+absl::Status storage_node::start(turns::storage_register& directory_service) {
     if (auto status = open_store(); !status.ok()) {
         return status;
     }
@@ -92,14 +92,14 @@
         return status;
     }
     membership_ = std::make_unique<turns::storage_membership>(
-        parts_.loop(), parts_.clock(), *replica_, outside,
+        parts_.loop(), parts_.clock(), *replica_, directory_service,
         turns::membership_options{
             .self = {.node = parts_.settings().node,
                      .address = to_endpoint(parts_.settings().peer),
                      .zone = parts_.settings().zone},
             .groups = {.tolerated_losses = parts_.settings().tolerated_losses,
                        .tolerated_zones = parts_.settings().tolerated_zones}});
-    loads_ = std::make_unique<turns::board_exchange>(
+    load_reports_ = std::make_unique<turns::board_exchange>(
         parts_.loop(), parts_.rpc(), parts_.clock(), replica_->board(),
         turns::board_exchange_options{.self = parts_.settings().node,
                                       .zone = parts_.settings().zone,
@@ -115,7 +115,7 @@
     }
     replica_->start();
     membership_->start();
-    recall_directory();
+    restore_directory();
     return absl::OkStatus();
 }
 
@@ -142,7 +142,7 @@
         replica_->group().value_or(0));
     set("pearbarrow_dispatch_load_groups",
         "Other replica groups of which a member tells this one what nodes report",
-        loads_->connected_groups());
+        load_reports_->connected_groups());
     const auto set_risk = [&](const char* loss, std::size_t groups) {
         registry
             .add_gauge("pearbarrow_storage_groups_at_risk",
@@ -169,56 +169,56 @@
         replica_->behind_count());
 }
 
-void storage_node::recall_directory() {
-    directory::directory_update update = copy_->recall();
+void storage_node::restore_directory() {
+    directory::directory_update update = directory_copy_->load();
     if (update.is_empty()) {
         return;
     }
-    // Whether this member is to leave may have changed since: somebody has to read it anew.
+    // The retirement of this member may have changed since, so it must be read again.
     update.retirements.clear();
     base::log(base::log_level::info, "directory_recalled",
               {{"backends", update.backends.empty() ? 0 : update.backends.back().backends.size()}});
-    recalling_ = true;
+    restoring_ = true;
     parts_.directory().publish(std::move(update));
-    recalling_ = false;
+    restoring_ = false;
 }
 
-void storage_node::take_changes(const directory::directory_state::changes& changed) {
+void storage_node::apply_changes(const directory::directory_state::changes& changed) {
     if (membership_ == nullptr) {
         return;
     }
-    if (!recalling_) {
-        copy_->keep(changed, parts_.directory().state());
+    if (!restoring_) {
+        directory_copy_->save(changed, parts_.directory().state());
     }
     if (changed.retirements) {
-        // First: a member that is to leave must not join.
+        // This comes first, since a retiring member must not join.
         const auto& nodes = parts_.directory().state().current().retirements->nodes;
         membership_->set_retiring(std::find(nodes.begin(), nodes.end(), parts_.settings().node) !=
                                   nodes.end());
     }
     const base::instant now = parts_.clock().now();
-    // The shares that this member counted before it ended, nobody has granted from since it began
-    // again. Reading 17,000 turns from the disk takes it a second, in which all callers of a fleet
-    // that has lost power come back: counted from its end, 612 of 800 requests were refused over
-    // their limit in the 0.75 s after (61 nodes, one play).
-    const base::instant counts_since = recalling_ ? began_ : now;
+    // Nothing has been granted from the shares of the previous incarnation since this member
+    // started, so they refill from its start. Reading 17,000 turns from the disk takes a second, in
+    // which all callers return after a power failure. With a refill from the end of the read, 612
+    // of 800 requests were refused by their limit in the following 0.75 s in a fleet of 61 nodes.
+    const base::instant responsible_since = restoring_ ? started_at_ : now;
     if (changed.config) {
         const directory::configuration& config = *parts_.directory().state().current().config;
-        quotas_->ledger().set_configuration(config, counts_since);
-        if (const auto rest = rest_of_programs(config); rest.has_value()) {
-            replica_->keep_reservations_for(*rest);
+        quotas_->ledger().set_configuration(config, responsible_since);
+        if (const auto idle_time = max_program_idle_time(config); idle_time.has_value()) {
+            replica_->keep_reservations_for(*idle_time);
         }
     }
-    take_start_limits(changed, now);
+    apply_start_limits(changed, now);
     if (!changed.storage) {
         return;
     }
     const directory::storage_view& view = *parts_.directory().state().current().storage;
-    quotas_->ledger().set_view(view, counts_since);
+    quotas_->ledger().set_view(view, responsible_since);
     permits_->ledger().set_view(view, now);
     replica_->set_view(view);
     membership_->set_view(view);
-    loads_->set_view(view);
+    load_reports_->set_view(view);
     check_losses(view);
 }
 
@@ -239,8 +239,8 @@
                {"groups_by_zones", at_risk_.by_zones}});
 }
 
-void storage_node::take_start_limits(const directory::directory_state::changes& changed,
-                                     base::instant now) {
+void storage_node::apply_start_limits(const directory::directory_state::changes& changed,
+                                      base::instant now) {
     const directory::snapshot& known = parts_.directory().state().current();
     if (changed.config) {
         start_limits_.set_configuration(*known.config);
@@ -254,7 +254,7 @@
 }
 
 void storage_node::stop(std::function<void()> done) {
-    // Nothing waits here: what was confirmed is stored, and edges ask the other members.
+    // There is nothing to wait for: confirmed data is stored, and edges call the other members.
     parts_.loop().post(std::move(done));
 }
 
--- a/src/pearbarrow/fleet/storage_node.h
+++ b/src/pearbarrow/fleet/storage_node.h
@@ -1,4 +1,4 @@
-/// A storage member: keeps turns and reservations on its disk.
+/// A storage member: stores turns and reservations on its disk.
 #pragma once
 
 #include <functional>
@@ -25,10 +25,10 @@
     storage_node(const storage_node&) = delete;
     storage_node& operator=(const storage_node&) = delete;
 
-    /// Opens the store and the links; `outside` must live as long as the node.
-    absl::Status start(turns::storage_register& outside);
+    /// Opens the store and the links. `directory_service` must outlive the node.
+    absl::Status start(turns::storage_register& directory_service);
     void stop(std::function<void()> done);
-    /// Whether it knows all that it has ever confirmed.
+    /// Returns whether the member has all data that it has ever confirmed.
     bool is_complete() const { return replica_ != nullptr && replica_->is_complete(); }
     node_parts& parts() { return parts_; }
     turns::storage_membership& membership() { return *membership_; }
@@ -36,26 +36,26 @@
   private:
     absl::Status open_store();
     void collect(base::metrics_registry& registry) const;
-    /// Publishes what was known before the process ended.
-    void recall_directory();
-    void take_changes(const directory::directory_state::changes& changed);
-    void take_start_limits(const directory::directory_state::changes& changed, base::instant now);
-    /// Tells operators when a tolerated loss would take the majority of a group.
+    /// Publishes the directory that the previous incarnation stored.
+    void restore_directory();
+    void apply_changes(const directory::directory_state::changes& changed);
+    void apply_start_limits(const directory::directory_state::changes& changed, base::instant now);
+    /// Logs when a tolerated loss would remove the majority of a replica group.
     void check_losses(const directory::storage_view& view);
 
-    /// When this process began: it has granted nothing before.
-    base::instant began_;
+    /// Start time of this incarnation, before which it has granted nothing.
+    base::instant started_at_;
     node_parts parts_;
     std::unique_ptr<turns::turn_store> store_;
-    std::unique_ptr<directory_copy> copy_;
-    /// What is published now comes from the disk.
-    bool recalling_ = false;
+    std::unique_ptr<directory_copy> directory_copy_;
+    /// Whether the directory that is being published comes from the disk.
+    bool restoring_ = false;
     std::unique_ptr<turns::turn_replica> replica_;
     std::unique_ptr<turns::storage_membership> membership_;
-    std::unique_ptr<turns::board_exchange> loads_;
+    std::unique_ptr<turns::board_exchange> load_reports_;
     std::unique_ptr<tenants::quota_service> quotas_;
     slowstart::start_limits start_limits_;
-    /// Counts permits for back ends that have just started.
+    /// Grants permits for back ends that have just started.
     std::unique_ptr<tenants::quota_service> permits_;
     turns::groups_at_risk at_risk_;
 };
--- a/src/pearbarrow/fleet/traffic_names.h
+++ b/src/pearbarrow/fleet/traffic_names.h
@@ -1,4 +1,4 @@
-/// How far other zones are from a node, and the names of calls and distances in metrics.
+/// Distances from a node to other zones, and the names of calls and distances in metrics.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,8 @@
 
 namespace pearbarrow::fleet {
 
-/// A zone without a region in the settings counts as one of another region than all that have one.
+/// Returns a function that classifies zones by distance. A zone without a region in the settings
+/// counts as outside all named regions.
 std::function<net::peer_distance(std::string_view zone)> distances_from(
     const settings::fleet_settings& settings);
 
--- a/src/pearbarrow/fleet/work_log.cc
+++ b/src/pearbarrow/fleet/work_log.cc
@@ -10,8 +10,9 @@
 namespace pearbarrow::fleet {
 namespace {
 
-/// A line of the log has 4 KB at most; a name with its labels up to 120 bytes.
-constexpr std::size_t most_in_line = 25;
+/// Maximum number of counters in a line: a line has at most 4 KB, a name with labels up to 120
+/// bytes.
+constexpr std::size_t max_counters_per_line = 25;
 
 }  // namespace
 
@@ -35,21 +36,21 @@
 }
 
 void work_log::write() {
-    std::map<std::string, double> now = this->counts();
-    nlohmann::json grown = nlohmann::json::object();
-    for (const auto& [name, value] : now) {
-        const auto held = this->before.find(name);
-        const double since = value - (held == this->before.end() ? 0 : held->second);
-        if (since > 0) {
-            grown[name] = since;
+    std::map<std::string, double> current = this->counts();
+    nlohmann::json increases = nlohmann::json::object();
+    for (const auto& [name, value] : current) {
+        const auto last = this->last_counts.find(name);
+        const double increase = value - (last == this->last_counts.end() ? 0 : last->second);
+        if (increase > 0) {
+            increases[name] = increase;
         }
-        if (grown.size() == most_in_line) {
-            this->write_line(std::exchange(grown, nlohmann::json::object()));
+        if (increases.size() == max_counters_per_line) {
+            this->write_line(std::exchange(increases, nlohmann::json::object()));
         }
     }
-    this->before = std::move(now);
-    if (!grown.empty()) {
-        this->write_line(std::move(grown));
+    this->last_counts = std::move(current);
+    if (!increases.empty()) {
+        this->write_line(std::move(increases));
     }
 }
 
--- a/src/pearbarrow/fleet/work_log.h
+++ b/src/pearbarrow/fleet/work_log.h
@@ -1,7 +1,7 @@
-/// Tells in the log, now and then, what a node has counted since the last time.
+/// Periodically logs the increase of a node's counters.
 ///
-/// Where a fleet's work goes is then known from its logs alone, by role and cause
-/// (`scripts/what-binds --work`), also where nobody fetches metrics.
+/// The logs alone then show the load of a fleet by role and cause (`scripts/what-binds --work`),
+/// even if no metrics are collected.
 #pragma once
 
 #include <map>
@@ -19,24 +19,24 @@
 
 class work_log {
   public:
-    /// Between two lines of a node: 2 KB each.
+    /// Time between two lines of a node, which have 2 KB each.
     static constexpr base::seconds interval{10};
 
     work_log(net::event_loop& loop, const base::metrics_registry& registry,
              const net::peer_rpc& rpc, std::string role);
 
-    /// Writes what has been counted since the last line.
+    /// Logs the increase of the counters since the last call.
     void write();
 
   private:
-    /// All counters and the bytes of each call between nodes, by name.
+    /// Returns all counters, and the bytes and frames of each call between nodes, by name.
     std::map<std::string, double> counts() const;
     void write_line(nlohmann::json counts) const;
 
     const base::metrics_registry& registry;
     const net::peer_rpc& rpc;
     std::string role;
-    std::map<std::string, double> before;
+    std::map<std::string, double> last_counts;
     std::unique_ptr<net::timer_handle> timer;
 };
 
--- a/tests/unit/fleet/fleet_fixture.h
+++ b/tests/unit/fleet/fleet_fixture.h
@@ -1,4 +1,4 @@
-/// A whole fleet on one loop: the stand-in of the platform's store, runners, storage members,
+/// A whole fleet on one event loop: an emulated platform store, runners, storage members and
 /// edges.
 #pragma once
 
@@ -29,13 +29,13 @@
 using net::testing::run_for;
 using net::testing::run_until;
 
-/// A port that is free, below those that the kernel gives out by itself: nobody else takes it
-/// between this and its use. Each test is a process of its own and begins elsewhere.
+/// Returns an address with a free port below the ephemeral range of the kernel, so that no other
+/// socket gets the port before its use. Each test is a separate process and starts at another port.
 inline settings::ip_endpoint free_address() {
     constexpr std::uint32_t first_port = 12'000;
     constexpr std::uint32_t port_count = 20'000;
-    constexpr std::uint32_t ports_of_a_test = 64;
-    static std::uint32_t next = static_cast<std::uint32_t>(::getpid()) * ports_of_a_test;
+    constexpr std::uint32_t ports_per_test = 64;
+    static std::uint32_t next = static_cast<std::uint32_t>(::getpid()) * ports_per_test;
     for (;;) {
         const auto port = static_cast<std::uint16_t>(first_port + next++ % port_count);
         const net::testing::raw_client probe({"127.0.0.1", port});
@@ -64,11 +64,11 @@
 };
 
 struct running_storage {
-    /// `reading`: how long it takes to read its disk before it answers anybody.
+    /// `disk_read_time` is how long the member reads its disk before it replies.
     running_storage(net::event_loop& loop, const base::clock& clock,
-                    settings::fleet_settings settings, base::milliseconds reading)
+                    settings::fleet_settings settings, base::milliseconds disk_read_time)
         : node(loop, clock, settings), directory(node.parts()) {
-        run_for(loop, reading);
+        run_for(loop, disk_read_time);
         const auto status = node.start(directory);
         cr_assert(status.ok(), "%s", status.ToString().c_str());
         directory.follow_for_storage(node.membership());
@@ -77,8 +77,8 @@
     platform::store_directory directory;
 };
 
-/// What a client got.
-struct client_answer {
+/// The response that a client received.
+struct client_response {
     int status = 0;
     bool whole = false;
     std::string body;
@@ -104,8 +104,8 @@
             storage_settings.back().data_folder = folder_ + "/" + std::to_string(index);
         }
         for (auto* list : {&edge_settings, &storage_settings}) {
-            for (settings::fleet_settings& one : *list) {
-                one.seeds.push_back(edge_settings.front().peer);
+            for (settings::fleet_settings& node : *list) {
+                node.seeds.push_back(edge_settings.front().peer);
             }
         }
         if (start_all) {
@@ -134,11 +134,12 @@
         edges[index] =
             std::make_unique<running_edge>(loop, clock, edge_settings[index], store_timeout);
     }
-    void start_storage(std::size_t index, base::milliseconds reading = base::milliseconds{0}) {
+    void start_storage(std::size_t index,
+                       base::milliseconds disk_read_time = base::milliseconds{0}) {
         storages[index] =
-            std::make_unique<running_storage>(loop, clock, storage_settings[index], reading);
+            std::make_unique<running_storage>(loop, clock, storage_settings[index], disk_read_time);
     }
-    /// The disk is lost with the process.
+    /// Ends the process and deletes its disk.
     void wipe_storage(std::size_t index) {
         storages[index].reset();
         storage_settings[index].first_start = false;
@@ -168,12 +169,12 @@
     }
     emulator::runner& add_runner(const std::string& service, const std::string& id,
                                  const std::string& zone = "a") {
-        auto& one = runners.emplace_back(loop, emulator::runner_options{.id = id, .zone = zone});
-        cr_assert(one.start().ok());
-        store.put("servers/" + id, one.list_entry(service));
-        return one;
+        auto& runner = runners.emplace_back(loop, emulator::runner_options{.id = id, .zone = zone});
+        cr_assert(runner.start().ok());
+        store.put("servers/" + id, runner.list_entry(service));
+        return runner;
     }
-    /// Everything started, configured and known everywhere, with one runner of each service.
+    /// Configures the fleet, adds one runner of each service, and waits until all edges know them.
     void make_ready() {
         configure();
         tool = &add_runner("tool", "i-tool");
@@ -198,15 +199,15 @@
         return true;
     }
 
-    client_answer call(std::size_t edge, const std::string& target, const std::string& id,
-                       net::http_headers more = {}, std::string body = "") {
-        std::optional<client_answer> result;
-        start_call(edge, target, id, more, body, result);
+    client_response call(std::size_t edge, const std::string& target, const std::string& id,
+                         net::http_headers extra_headers = {}, std::string body = "") {
+        std::optional<client_response> result;
+        start_call(edge, target, id, extra_headers, body, result);
         cr_assert(run_until(loop, [&] { return result.has_value(); }));
         return *std::move(result);
     }
-    client_answer turn(std::size_t edge, const std::string& id, const std::string& previous,
-                       const std::string& body, std::uint64_t budget = 10'000) {
+    client_response turn(std::size_t edge, const std::string& id, const std::string& previous,
+                         const std::string& body, std::uint64_t budget = 10'000) {
         net::http_headers headers{{"Pearbarrow-Program-Id", "program"},
                                   {"Pearbarrow-Token-Budget", std::to_string(budget)},
                                   {"Pearbarrow-Token-Usage", "100,50"}};
@@ -216,29 +217,29 @@
         return call(edge, "/turn/x", id, headers, body);
     }
     void start_call(std::size_t edge, const std::string& target, const std::string& id,
-                    const net::http_headers& more, const std::string& body,
-                    std::optional<client_answer>& result) {
+                    const net::http_headers& extra_headers, const std::string& body,
+                    std::optional<client_response>& result) {
         net::http_call call{.server = to_endpoint(edge_settings[edge].caller),
                             .method = body.empty() ? "GET" : "POST",
                             .target = target,
                             .headers = {{"Host", "shop.example"}, {"Pearbarrow-Request-Id", id}},
                             .body = body};
-        for (const net::http_header& header : more.all()) {
+        for (const net::http_header& header : extra_headers.all()) {
             call.headers.add(header.name, header.value);
         }
-        auto answer = std::make_shared<client_answer>();
+        auto response = std::make_shared<client_response>();
         calls.push_back(client->start(
             std::move(call),
             {.on_head =
-                 [answer](int status, const net::http_headers& headers) {
-                     answer->status = status;
-                     answer->headers = headers;
+                 [response](int status, const net::http_headers& headers) {
+                     response->status = status;
+                     response->headers = headers;
                  },
-             .on_chunk = [answer](std::string_view part) { answer->body.append(part); },
+             .on_chunk = [response](std::string_view part) { response->body.append(part); },
              .on_done =
-                 [answer, &result](const absl::Status& status) {
-                     answer->whole = status.ok();
-                     result = *answer;
+                 [response, &result](const absl::Status& status) {
+                     response->whole = status.ok();
+                     result = *response;
                  }}));
     }
 
@@ -248,8 +249,8 @@
     std::list<emulator::runner> runners;
     emulator::runner* tool = nullptr;
     emulator::runner* model = nullptr;
-    /// Of edges that start from here on: the product's own, since a disk that others use too takes
-    /// up to 2.6 s for one synced write. A test that waits for it to pass sets a short one.
+    /// Applies to edges that start later. The default is that of the product, since a synced write
+    /// to a shared disk takes up to 2.6 s. A test that waits for the timeout sets a shorter one.
     base::milliseconds store_timeout = forward::forward_options().store_timeout;
     std::vector<settings::fleet_settings> edge_settings;
     std::vector<settings::fleet_settings> storage_settings;
@@ -260,13 +261,13 @@
 
   private:
     settings::fleet_settings common(const std::string& name) {
-        settings::fleet_settings one;
-        one.node = base::node_id(name);
-        one.zone = "a";
-        one.peer = free_address();
+        settings::fleet_settings node;
+        node.node = base::node_id(name);
+        node.zone = "a";
+        node.peer = free_address();
         const net::endpoint address = store.address();
-        one.directory_service = {address.address, address.port};
-        return one;
+        node.directory_service = {address.address, address.port};
+        return node;
     }
 
     std::string folder_;
--- a/tests/unit/fleet/forwarding_test.cc
+++ b/tests/unit/fleet/forwarding_test.cc
@@ -1,4 +1,4 @@
-// Forwarding of plain requests through a whole fleet, and its bad cases.
+// Tests the forwarding of plain requests through a whole fleet, and its failures.
 #include <algorithm>
 
 #include "fleet_fixture.h"
@@ -9,58 +9,59 @@
 using namespace pearbarrow::fleet::testing;
 using emulator::runner_fault;
 
-Test(forwarding, a_request_passes_through_untouched) {
+Test(forwarding, request_is_forwarded_unchanged) {
     fleet_fixture fleet;
     fleet.make_ready();
-    const auto answer = fleet.call(0, "/plain/a?b=c%20d", "r1",
-                                   {{"Pearbarrow-Deadline-Ms", "1000"}, {"X-Own", "kept"}}, "text");
-    cr_assert(answer.status == 200 && answer.whole);
-    cr_assert(answer.body == "answer of i-tool");
-    cr_assert(answer.headers.find("Pearbarrow-Response-Signature").has_value());
+    const auto response =
+        fleet.call(0, "/plain/a?b=c%20d", "r1",
+                   {{"Pearbarrow-Deadline-Ms", "1000"}, {"X-Own", "kept"}}, "text");
+    cr_assert(response.status == 200 && response.whole);
+    cr_assert(response.body == "answer of i-tool");
+    cr_assert(response.headers.find("Pearbarrow-Response-Signature").has_value());
     const auto& run = fleet.tool->runs().front();
     cr_assert(run.request_id == "r1" && run.target == "/plain/a?b=c%20d" && run.body == "text");
     cr_assert(std::stoi(run.deadline) <= 1000 && std::stoi(run.deadline) > 500);
 }
 
-Test(forwarding, without_a_configuration_the_answer_is_503_and_never_404) {
+Test(forwarding, without_configuration_status_is_503) {
     fleet_fixture fleet(0, 1);
-    const auto answer = fleet.call(0, "/plain/a", "r1");
-    cr_assert(answer.status == 503);
-    cr_assert(answer.headers.find("Retry-After").has_value());
+    const auto response = fleet.call(0, "/plain/a", "r1");
+    cr_assert(response.status == 503);
+    cr_assert(response.headers.find("Retry-After").has_value());
 }
 
-// It could only refuse what it is asked.
-Test(forwarding, an_edge_without_the_list_of_back_ends_is_not_ready) {
+// Guards against reporting ready too early: without the list, an edge can only reject requests.
+Test(forwarding, edge_without_backend_list_is_not_ready) {
     fleet_fixture fleet(0, 1, false);
     fleet.edges.resize(1);
     fleet.store.set_trouble(emulator::metadata_store::trouble::refusing);
     fleet.start_edge(0);
     directory::directory_exchange& exchange = fleet.edges[0]->node.parts().directory();
-    directory::directory_update told;
-    told.config.push_back({.version = 3});
-    told.emptied_zones.push_back({.revision = 3});
-    exchange.publish(std::move(told));
+    directory::directory_update update;
+    update.config.push_back({.version = 3});
+    update.emptied_zones.push_back({.revision = 3});
+    exchange.publish(std::move(update));
     cr_assert(!fleet.edges[0]->node.is_ready());
     directory::directory_update list;
     list.backends.push_back({.revision = 3});
     exchange.publish(std::move(list));
-    cr_assert(fleet.edges[0]->node.is_ready(), "it may be empty");
+    cr_assert(fleet.edges[0]->node.is_ready(), "the list may be empty");
 }
 
-Test(forwarding, an_unknown_path_is_404) {
+Test(forwarding, unknown_path_is_404) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     cr_assert(fleet.call(0, "/other/a", "r1").status == 404);
 }
 
-Test(forwarding, a_header_that_must_be_a_number_is_checked) {
+Test(forwarding, non_numeric_deadline_is_rejected) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     cr_assert(fleet.call(0, "/plain/a", "r1", {{"Pearbarrow-Deadline-Ms", "soon"}}).status == 400);
     cr_assert(fleet.tool->runs().empty());
 }
 
-Test(forwarding, a_refused_request_goes_to_another_runner) {
+Test(forwarding, refused_request_is_retried_at_another_runner) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.tool->set_fault(runner_fault::refuse);
@@ -72,16 +73,16 @@
     cr_assert(other.runs().size() == 4);
 }
 
-Test(forwarding, a_refusal_without_another_runner_is_503_with_the_time_to_come_back) {
+Test(forwarding, refusal_without_another_runner_is_503_with_retry_after) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.tool->set_fault(runner_fault::refuse);
-    const auto answer = fleet.call(0, "/once/a", "r1");
-    cr_assert(answer.status == 503);
-    cr_assert(answer.headers.find("Retry-After").has_value());
+    const auto response = fleet.call(0, "/once/a", "r1");
+    cr_assert(response.status == 503);
+    cr_assert(response.headers.find("Retry-After").has_value());
 }
 
-Test(forwarding, a_lost_answer_is_never_asked_for_twice_unless_it_may_be) {
+Test(forwarding, lost_response_is_retried_only_if_idempotent) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     auto& other = fleet.add_runner("tool", "i-other");
@@ -95,25 +96,25 @@
     cr_assert(fleet.tool->runs().size() + other.runs().size() == 3);
 }
 
-Test(forwarding, an_answer_of_another_request_or_without_signature_is_not_passed_on) {
+Test(forwarding, foreign_or_unsigned_response_is_not_forwarded) {
     for (const auto fault : {runner_fault::foreign_answer, runner_fault::unsigned_answer}) {
         fleet_fixture fleet(0, 1);
         fleet.make_ready();
         fleet.tool->set_fault(fault);
-        const auto answer = fleet.call(0, "/once/a", "r1", {}, "hold");
-        cr_assert(answer.status == 502);
-        cr_assert(answer.body.find("answer of") == std::string::npos);
+        const auto response = fleet.call(0, "/once/a", "r1", {}, "hold");
+        cr_assert(response.status == 502);
+        cr_assert(response.body.find("answer of") == std::string::npos);
     }
 }
 
-Test(forwarding, a_runner_that_does_not_answer_ends_at_the_route_s_time) {
+Test(forwarding, request_to_hanging_runner_ends_at_route_timeout) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.configure(3, 200);
     fleet.tool->set_fault(runner_fault::hang);
     run_for(fleet.loop, base::milliseconds{100});
-    const auto answer = fleet.call(0, "/plain/a", "r1");
-    cr_assert(answer.status == 504);
+    const auto response = fleet.call(0, "/plain/a", "r1");
+    cr_assert(response.status == 504);
     cr_assert(run_until(fleet.loop, [&] { return fleet.tool->runs().front().cancelled; }));
 }
 
@@ -121,18 +122,19 @@
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.tool->set_fault(runner_fault::hang);
-    std::optional<client_answer> result;
+    std::optional<client_response> result;
     fleet.start_call(0, "/plain/a", "r1", {}, "", result);
     cr_assert(run_until(fleet.loop, [&] { return fleet.tool->runs().size() == 1; }));
     fleet.calls.clear();
     cr_assert(run_until(fleet.loop, [&] { return fleet.tool->runs().front().cancelled; }));
 }
 
-// What changes while a node gathers comes in one answer, the same key more than once.
-Test(forwarding, of_two_configurations_in_one_answer_the_newer_is_in_force) {
+// Guards against applying an older value: changes that arrive while a node collects them come in
+// one response, which may contain the same key more than once.
+Test(forwarding, newest_configuration_of_one_response_applies) {
     fleet_fixture fleet(0, 2);
     fleet.make_ready();
-    // Nodes that no peer answers gather nothing.
+    // Nodes without a connected peer do not collect changes.
     cr_assert(run_until(fleet.loop, [&] {
         return std::all_of(fleet.edges.begin(), fleet.edges.end(), [](const auto& edge) {
             return edge->node.parts().directory().is_connected();
@@ -155,8 +157,9 @@
     }
 }
 
-// An entry that is taken out and put again, and one that is put and taken out, in one answer.
-Test(forwarding, of_several_entries_of_a_runner_in_one_answer_the_last_holds) {
+// Guards against applying an outdated entry: one response contains an entry that is removed and put
+// again, and one that is put and removed.
+Test(forwarding, last_entry_of_a_runner_in_one_response_applies) {
     fleet_fixture fleet(0, 2);
     fleet.make_ready();
     const auto& known = fleet.edges[0]->node.parts().directory().state().current();
@@ -176,7 +179,7 @@
     }
 }
 
-Test(forwarding, a_draining_runner_gets_nothing_new) {
+Test(forwarding, draining_runner_gets_no_new_requests) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     auto& other = fleet.add_runner("tool", "i-other");
@@ -192,7 +195,7 @@
     cr_assert(fleet.tool->runs().empty() && other.runs().size() == 6);
 }
 
-Test(forwarding, an_edge_that_the_store_refuses_learns_from_its_peers) {
+Test(forwarding, edge_refused_by_the_store_learns_from_peers) {
     fleet_fixture fleet(0, 2);
     fleet.make_ready();
     fleet.edges[1].reset();
@@ -202,7 +205,7 @@
     cr_assert(fleet.call(1, "/plain/a", "r1").status == 200);
 }
 
-Test(forwarding, most_nodes_learn_of_changes_from_those_few_that_watch) {
+Test(forwarding, most_nodes_learn_of_changes_from_few_watchers) {
     constexpr std::size_t edges = 6;
     constexpr std::uint64_t changes = 20;
     fleet_fixture fleet(0, edges);
@@ -218,13 +221,13 @@
             return edge->node.parts().directory().state().versions().config == 9 + changes;
         });
     }));
-    // Were every node to watch all the time, each change would cost a call of each.
+    // If every node watched all the time, each change would cost one call per node.
     const std::uint64_t calls = fleet.store.calls() - calls_before;
     cr_assert(calls < edges * changes * 2 / 3, "%llu calls",
               static_cast<unsigned long long>(calls));
 }
 
-Test(forwarding, a_change_that_no_watch_tells_is_found_all_the_same) {
+Test(forwarding, change_without_watch_event_is_found) {
     fleet_fixture fleet(0, 3);
     fleet.make_ready();
     fleet.store.set_trouble(emulator::metadata_store::trouble::deaf_watches);
@@ -236,7 +239,7 @@
     }));
 }
 
-Test(forwarding, a_lost_history_of_the_store_hides_no_change) {
+Test(forwarding, change_is_found_after_store_history_is_lost) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.store.set_trouble(emulator::metadata_store::trouble::deaf_watches);
@@ -248,19 +251,19 @@
     }));
 }
 
-Test(forwarding, a_stopping_edge_is_not_ready_and_still_serves) {
+Test(forwarding, stopping_edge_is_not_ready_and_still_serves) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     bool stopped = false;
     fleet.edges[0]->node.stop([&] { stopped = true; });
     cr_assert(!fleet.edges[0]->node.is_ready());
-    const auto answer = fleet.call(0, "/plain/a", "r1");
-    cr_assert(answer.status == 200);
-    cr_assert(answer.headers.find("Connection") == "close");
+    const auto response = fleet.call(0, "/plain/a", "r1");
+    cr_assert(response.status == 200);
+    cr_assert(response.headers.find("Connection") == "close");
     cr_assert(run_until(fleet.loop, [&] { return stopped; }));
 }
 
-Test(forwarding, a_request_that_may_run_again_does_not_wait_for_a_silent_runner) {
+Test(forwarding, idempotent_request_does_not_wait_for_hanging_runner) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.tool->set_fault(runner_fault::hang);
@@ -271,11 +274,13 @@
     }
     cr_assert(other.runs().size() == 3);
     other.set_fault(runner_fault::hang);
-    cr_assert(fleet.call(0, "/once/a", "s1", {}, "hold").status == 504, "never sent again");
+    cr_assert(fleet.call(0, "/once/a", "s1", {}, "hold").status == 504,
+              "a non-idempotent request is not repeated");
 }
 
-// All nodes of a fleet start at once and are refused a part of their calls to the store.
-Test(forwarding, a_list_of_many_pages_is_read_although_some_are_refused) {
+// Guards against giving up on a partial read: when all nodes of a fleet start at once, the store
+// refuses a part of their calls.
+Test(forwarding, paged_list_is_read_despite_refused_calls) {
     fleet_fixture fleet(0, 1, false);
     fleet.configure();
     fleet.add_runner("tool", "i-tool");
--- a/tests/unit/fleet/metrics_test.cc
+++ b/tests/unit/fleet/metrics_test.cc
@@ -1,4 +1,4 @@
-// What a fleet's nodes tell of themselves.
+// Tests the metrics of a fleet's nodes.
 #include "fleet_fixture.h"
 #include "pearbarrow/fleet/traffic_names.h"
 
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Test(metrics, an_edge_tells_what_it_knows_and_what_it_did) {
+Test(metrics, edge_reports_directory_and_turn_metrics) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "hello ").whole);
@@ -39,7 +39,7 @@
     cr_assert(has(text, "pearbarrow_turn_step_seconds_count{outcome=\"stored\",step=\"store\"} 1"));
 }
 
-Test(metrics, an_edge_tells_its_bytes_by_call_and_distance) {
+Test(metrics, edge_reports_bytes_by_call_and_distance) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "hello ").whole);
@@ -53,9 +53,9 @@
 Test(metrics, distances_follow_the_regions_of_the_settings) {
     settings::fleet_settings settings;
     settings.zone = "a1";
-    const auto alone = fleet::distances_from(settings);
-    cr_assert(alone("a1") == net::peer_distance::own_zone);
-    cr_assert(alone("b1") == net::peer_distance::other_zone);
+    const auto without_regions = fleet::distances_from(settings);
+    cr_assert(without_regions("a1") == net::peer_distance::own_zone);
+    cr_assert(without_regions("b1") == net::peer_distance::other_zone);
     settings.regions = {{"a1", "a"}, {"a2", "a"}, {"b1", "b"}};
     const auto distance = fleet::distances_from(settings);
     cr_assert(distance("a2") == net::peer_distance::other_zone);
@@ -64,11 +64,11 @@
     cr_assert(distance("") == net::peer_distance::unknown);
 }
 
-Test(metrics, a_storage_member_tells_whether_it_is_complete_and_level) {
+Test(metrics, storage_member_reports_whether_it_is_complete) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "hello ").whole);
-    // Most members have stored the turn; this one may be the last to do so.
+    // A majority has stored the turn. This member may be the last to store it.
     std::string text;
     cr_assert(run_until(fleet.loop, [&] {
         text = fleet.storages[0]->node.parts().gauges().text();
--- a/tests/unit/fleet/places_test.cc
+++ b/tests/unit/fleet/places_test.cc
@@ -1,4 +1,4 @@
-// Zones that an operator empties, and regions that routes are permitted, through a whole fleet.
+// Tests emptied zones and permitted regions in a whole fleet.
 #include <algorithm>
 
 #include "fleet_fixture.h"
@@ -14,14 +14,14 @@
 constexpr char zone_a_key[] = "op/evacuate/a";
 constexpr char zone_b_key[] = "op/evacuate/b";
 
-/// Edges in zone `a`, back ends in `a` and `b`.
+/// A fleet with edges in zone `a` and back ends in `a` and `b`.
 struct places_fixture : fleet_fixture {
     explicit places_fixture(std::size_t storage_count = 0, std::size_t edge_count = 1,
                             bool start_all = true)
         : fleet_fixture(storage_count, edge_count, false) {
         for (auto* list : {&this->edge_settings, &this->storage_settings}) {
-            for (settings::fleet_settings& one : *list) {
-                one.regions = {{"a", "north"}, {"b", "south"}};
+            for (settings::fleet_settings& node : *list) {
+                node.regions = {{"a", "north"}, {"b", "south"}};
             }
         }
         this->tool = &this->add_runner_in("a", "tool", "tool-a");
@@ -37,17 +37,17 @@
 
     emulator::runner& add_runner_in(const std::string& zone, const std::string& service,
                                     const std::string& id) {
-        emulator::runner& one = this->add_runner(service, id);
-        this->list_in(zone, service, id, one);
-        return one;
+        emulator::runner& runner = this->add_runner(service, id);
+        this->list_in(zone, service, id, runner);
+        return runner;
     }
     void list_in(const std::string& zone, const std::string& service, const std::string& id,
-                 const emulator::runner& one) {
-        nlohmann::json entry = nlohmann::json::parse(one.list_entry(service));
+                 const emulator::runner& runner) {
+        nlohmann::json entry = nlohmann::json::parse(runner.list_entry(service));
         entry["zone"] = zone;
         this->store.put("servers/" + id, entry.dump());
     }
-    bool all_know(std::size_t emptied) const {
+    bool all_edges_know(std::size_t emptied) const {
         return std::all_of(this->edges.begin(), this->edges.end(), [emptied](const auto& edge) {
             const auto& known = edge->node.parts().directory().state().current().emptied_zones;
             return known.has_value() && known->zones.size() == emptied;
@@ -57,16 +57,17 @@
         const std::size_t before =
             this->edges[0]->node.parts().directory().state().current().emptied_zones->zones.size();
         this->store.put(key, "{}");
-        cr_assert(run_until(this->loop, [&] { return this->all_know(before + 1); }));
+        cr_assert(run_until(this->loop, [&] { return this->all_edges_know(before + 1); }));
     }
-    void call_often(std::size_t edge, int count, const char* target = "/once/a") {
+    void call_repeatedly(std::size_t edge, int count, const char* target = "/once/a") {
         for (int index = 0; index < count; ++index) {
-            const auto answer =
+            const auto response =
                 this->call(edge, target, "often" + std::to_string(this->last_call++));
-            cr_assert(answer.status == 200, "status %d: %s", answer.status, answer.body.c_str());
+            cr_assert(response.status == 200, "status %d: %s", response.status,
+                      response.body.c_str());
         }
     }
-    /// Routes as in `configure`, all with the regions.
+    /// Restricts all routes of `configure` to the regions.
     void configure_regions(std::uint64_t version, const std::vector<std::string>& regions) {
         nlohmann::json config = nlohmann::json::parse(this->store.value("op/config"));
         config["version"] = version;
@@ -87,33 +88,33 @@
     int last_call = 0;
 };
 
-void assert_refused(const client_answer& answer, const char* reason) {
-    cr_assert(answer.status == 503, "status %d", answer.status);
-    cr_assert(answer.body.find(reason) != std::string::npos, "%s", answer.body.c_str());
-    cr_assert(answer.headers.find("Retry-After").has_value());
+void assert_refused(const client_response& response, const char* reason) {
+    cr_assert(response.status == 503, "status %d", response.status);
+    cr_assert(response.body.find(reason) != std::string::npos, "%s", response.body.c_str());
+    cr_assert(response.headers.find("Retry-After").has_value());
 }
 
 }  // namespace
 
-Test(places, an_emptied_zone_gets_nothing_until_it_is_taken_back) {
+Test(places, emptied_zone_gets_no_requests_until_back_in_use) {
     places_fixture fleet;
-    fleet.call_often(0, 5);
-    cr_assert(!fleet.tool->runs().empty(), "the own zone goes first");
+    fleet.call_repeatedly(0, 5);
+    cr_assert(!fleet.tool->runs().empty(), "requests go to the own zone first");
     const std::size_t before = fleet.tool->runs().size();
     fleet.empty_zone(zone_a_key);
-    fleet.call_often(0, 10);
+    fleet.call_repeatedly(0, 10);
     cr_assert(fleet.tool->runs().size() == before);
     fleet.store.remove(zone_a_key);
-    cr_assert(run_until(fleet.loop, [&] { return fleet.all_know(0); }));
-    fleet.call_often(0, 10);
+    cr_assert(run_until(fleet.loop, [&] { return fleet.all_edges_know(0); }));
+    fleet.call_repeatedly(0, 10);
     cr_assert(fleet.tool->runs().size() > before);
 }
 
-Test(places, what_runs_in_the_zone_ends_in_peace) {
+Test(places, requests_in_flight_in_an_emptied_zone_continue) {
     places_fixture fleet;
     fleet.configure(3, 20'000);
     run_for(fleet.loop, base::milliseconds{100});
-    std::optional<client_answer> result;
+    std::optional<client_response> result;
     fleet.tool->set_fault(runner_fault::hang);
     fleet.start_call(0, "/once/a", "r1", {}, "hold", result);
     cr_assert(run_until(fleet.loop, [&] { return fleet.tool->runs().size() == 1; }));
@@ -123,14 +124,14 @@
     cr_assert(!result.has_value());
 }
 
-Test(places, a_second_attempt_goes_by_what_is_known_then) {
+Test(places, second_attempt_uses_current_zone_rules) {
     places_fixture fleet;
     auto& other = fleet.add_runner_in("a", "tool", "tool-a2");
     cr_assert(run_until(fleet.loop, [&] { return fleet.is_settled(); }));
     fleet.tool->set_fault(runner_fault::hang);
     other.set_fault(runner_fault::hang);
     fleet.far_tool->set_fault(runner_fault::none);
-    std::optional<client_answer> result;
+    std::optional<client_response> result;
     fleet.start_call(0, "/plain/a", "r1", {}, "", result);
     cr_assert(run_until(fleet.loop, [&] {
         return fleet.tool->runs().size() + other.runs().size() + fleet.far_tool->runs().size() == 1;
@@ -142,7 +143,7 @@
     cr_assert(fleet.far_tool->runs().size() == 1);
 }
 
-Test(places, a_turn_that_waited_for_its_members_goes_by_what_is_known_then) {
+Test(places, turn_that_waited_for_members_uses_current_zone_rules) {
     places_fixture fleet(3, 1);
     fleet.configure(3, 10'000);
     run_for(fleet.loop, base::milliseconds{100});
@@ -150,7 +151,7 @@
     const std::size_t before = fleet.model->runs().size();
     fleet.storages[1].reset();
     fleet.storages[2].reset();
-    std::optional<client_answer> result;
+    std::optional<client_response> result;
     fleet.start_call(0, "/turn/x", "t2",
                      {{"Pearbarrow-Program-Id", "program"},
                       {"Pearbarrow-Token-Budget", "10000"},
@@ -168,7 +169,7 @@
     cr_assert(!fleet.far_model->runs().empty());
 }
 
-Test(places, a_request_that_waited_for_its_limit_goes_by_what_is_known_then) {
+Test(places, request_that_waited_for_its_quota_uses_current_zone_rules) {
     places_fixture fleet(3, 1);
     nlohmann::json config = nlohmann::json::parse(fleet.store.value("op/config"));
     config["version"] = 3;
@@ -182,7 +183,7 @@
     for (auto& storage : fleet.storages) {
         storage.reset();
     }
-    std::optional<client_answer> result;
+    std::optional<client_response> result;
     fleet.start_call(0, "/once/a", "r1", {{"Authorization", "Bearer key-of-a"}}, "", result);
     run_for(fleet.loop, base::milliseconds{5});
     fleet.store.put(zone_a_key, "{}");
@@ -193,34 +194,34 @@
     cr_assert(fleet.tool->runs().empty());
 }
 
-Test(places, when_all_zones_are_emptied_the_answer_says_so_at_once) {
+Test(places, request_is_refused_at_once_if_all_zones_are_emptied) {
     places_fixture fleet;
     fleet.store.put(zone_a_key, "{}");
     fleet.store.put(zone_b_key, "{}");
-    cr_assert(run_until(fleet.loop, [&] { return fleet.all_know(2); }));
+    cr_assert(run_until(fleet.loop, [&] { return fleet.all_edges_know(2); }));
     assert_refused(fleet.call(0, "/once/a", "r1"), "zone_emptied");
     cr_assert(fleet.tool->runs().empty() && fleet.far_tool->runs().empty());
     fleet.store.remove(zone_b_key);
-    cr_assert(run_until(fleet.loop, [&] { return fleet.all_know(1); }));
-    fleet.call_often(0, 5);
+    cr_assert(run_until(fleet.loop, [&] { return fleet.all_edges_know(1); }));
+    fleet.call_repeatedly(0, 5);
     cr_assert(fleet.tool->runs().empty());
 }
 
-Test(places, a_turn_that_no_zone_may_run_is_refused_with_its_reason_and_may_come_again) {
+Test(places, turn_refused_by_emptied_zones_can_be_repeated) {
     places_fixture fleet(3, 1);
     fleet.store.put(zone_a_key, "{}");
     fleet.store.put(zone_b_key, "{}");
-    cr_assert(run_until(fleet.loop, [&] { return fleet.all_know(2); }));
+    cr_assert(run_until(fleet.loop, [&] { return fleet.all_edges_know(2); }));
     assert_refused(fleet.turn(0, "t1", "", "hello", 150), "zone_emptied");
     fleet.store.remove(zone_b_key);
-    cr_assert(run_until(fleet.loop, [&] { return fleet.all_know(1); }));
-    // The budget holds one such turn: nothing is left reserved for the one that was refused.
-    const auto answer = fleet.turn(0, "t2", "", "hello", 150);
-    cr_assert(answer.status == 200, "status %d: %s", answer.status, answer.body.c_str());
+    cr_assert(run_until(fleet.loop, [&] { return fleet.all_edges_know(1); }));
+    // The budget covers one such turn, so the refused turn must not leave a reservation.
+    const auto response = fleet.turn(0, "t2", "", "hello", 150);
+    cr_assert(response.status == 200, "status %d: %s", response.status, response.body.c_str());
     cr_assert(fleet.model->runs().empty());
 }
 
-Test(places, a_service_whose_last_zone_is_emptied_is_refused_and_others_are_served) {
+Test(places, service_without_usable_zone_is_refused) {
     places_fixture fleet;
     fleet.store.remove("servers/tool-b");
     cr_assert(run_until(fleet.loop, [&] {
@@ -231,30 +232,30 @@
     assert_refused(fleet.call(0, "/once/a", "r1"), "zone_emptied");
 }
 
-Test(places, a_zone_that_does_not_exist_changes_nothing) {
+Test(places, emptying_an_unknown_zone_has_no_effect) {
     places_fixture fleet;
     fleet.empty_zone("op/evacuate/nowhere");
-    fleet.call_often(0, 5);
+    fleet.call_repeatedly(0, 5);
     cr_assert(!fleet.tool->runs().empty());
 }
 
-Test(places, a_node_that_the_store_turns_away_hears_of_it_from_its_peers) {
+Test(places, node_without_store_learns_emptied_zones_from_peers) {
     places_fixture fleet(0, 3, false);
     fleet.edge_settings[2].directory_service = free_address();
     fleet.start_everything();
-    cr_assert(run_until(fleet.loop, [&] { return fleet.is_settled() && fleet.all_know(0); }));
-    const base::instant began = fleet.clock.now();
+    cr_assert(run_until(fleet.loop, [&] { return fleet.is_settled() && fleet.all_edges_know(0); }));
+    const base::instant started_at = fleet.clock.now();
     fleet.empty_zone(zone_a_key);
-    cr_assert(fleet.clock.now() - began < base::milliseconds{2'000});
-    fleet.call_often(2, 5);
+    cr_assert(fleet.clock.now() - started_at < base::milliseconds{2'000});
+    fleet.call_repeatedly(2, 5);
     cr_assert(fleet.tool->runs().empty());
     fleet.store.remove(zone_a_key);
-    cr_assert(run_until(fleet.loop, [&] { return fleet.all_know(0); }));
-    fleet.call_often(2, 5);
+    cr_assert(run_until(fleet.loop, [&] { return fleet.all_edges_know(0); }));
+    fleet.call_repeatedly(2, 5);
     cr_assert(!fleet.tool->runs().empty());
 }
 
-Test(places, a_node_that_restarts_while_the_store_is_out_knows_it_before_it_is_ready) {
+Test(places, node_restarted_without_store_knows_emptied_zones_before_it_is_ready) {
     places_fixture fleet(0, 3);
     fleet.empty_zone(zone_a_key);
     fleet.store.set_trouble(emulator::metadata_store::trouble::silent);
@@ -262,35 +263,35 @@
     fleet.start_edge(2);
     cr_assert(!fleet.edges[2]->node.is_ready());
     cr_assert(run_until(fleet.loop, [&] { return fleet.edges[2]->node.is_ready(); }));
-    fleet.call_often(2, 5);
+    fleet.call_repeatedly(2, 5);
     cr_assert(fleet.tool->runs().empty());
 }
 
-Test(places, a_node_that_has_not_heard_which_zones_are_emptied_sends_nothing) {
+Test(places, node_without_emptied_zones_forwards_nothing) {
     places_fixture fleet(0, 2, false);
     fleet.edge_settings[1].directory_service = free_address();
     fleet.edge_settings[1].seeds.clear();
     fleet.start_everything();
-    const auto& full = fleet.edges[0]->node.parts().directory().state();
+    const auto& complete = fleet.edges[0]->node.parts().directory().state();
     cr_assert(run_until(fleet.loop, [&] {
-        return full.current().config.has_value() && full.current().backends.has_value();
+        return complete.current().config.has_value() && complete.current().backends.has_value();
     }));
-    directory::directory_update part = full.newer_than({});
-    part.emptied_zones.clear();
-    fleet.edges[1]->node.parts().directory().publish(part);
+    directory::directory_update partial = complete.newer_than({});
+    partial.emptied_zones.clear();
+    fleet.edges[1]->node.parts().directory().publish(partial);
     cr_assert(!fleet.edges[1]->node.is_ready());
     assert_refused(fleet.call(1, "/once/a", "r1"), "emptied_zones_unknown");
-    directory::directory_update rest;
-    rest.emptied_zones.push_back({.revision = 1, .zones = {}});
-    fleet.edges[1]->node.parts().directory().publish(rest);
+    directory::directory_update remaining;
+    remaining.emptied_zones.push_back({.revision = 1, .zones = {}});
+    fleet.edges[1]->node.parts().directory().publish(remaining);
     cr_assert(fleet.edges[1]->node.is_ready());
-    fleet.call_often(1, 1);
+    fleet.call_repeatedly(1, 1);
 }
 
 Test(places, requests_run_only_in_permitted_regions) {
     places_fixture fleet;
     fleet.configure_regions(3, {"south"});
-    fleet.call_often(0, 10);
+    fleet.call_repeatedly(0, 10);
     cr_assert(fleet.tool->runs().empty());
     fleet.empty_zone(zone_b_key);
     assert_refused(fleet.call(0, "/once/a", "r1"), "zone_emptied");
@@ -314,7 +315,8 @@
     fleet.configure_regions(3, {"south"});
     assert_refused(fleet.turn(0, "t1", "", "hello"), "no_permitted_storage");
     cr_assert(fleet.model->runs().empty() && fleet.far_model->runs().empty());
-    cr_assert(fleet.call(0, "/once/a", "r1").status == 200, "what keeps no texts is served");
+    cr_assert(fleet.call(0, "/once/a", "r1").status == 200,
+              "a route that stores no texts is served");
     fleet.configure_regions(4, {"north"});
     cr_assert(fleet.turn(0, "t1", "", "hello").status == 200);
     cr_assert(fleet.far_model->runs().empty());
--- a/tests/unit/fleet/settings_reload_test.cc
+++ b/tests/unit/fleet/settings_reload_test.cc
@@ -1,4 +1,4 @@
-// A settings file that changes while its node runs.
+// Tests changes of the settings file of a running node.
 #include "pearbarrow/fleet/settings_reload.h"
 
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr char good_text[] = R"(
+constexpr char valid_text[] = R"(
 role = "edge"
 node = "edge-1"
 zone = "z"
@@ -37,7 +37,7 @@
     settings_file() {
         std::string pattern = std::filesystem::temp_directory_path() / "settings-XXXXXX";
         this->folder = ::mkdtemp(pattern.data());
-        this->write(good_text);
+        this->write(valid_text);
     }
     ~settings_file() { std::filesystem::remove_all(this->folder); }
     settings_file(const settings_file&) = delete;
@@ -49,8 +49,8 @@
     std::string folder;
 };
 
-struct reloading {
-    explicit reloading(const settings_file& file)
+struct reloading_node {
+    explicit reloading_node(const settings_file& file)
         : reload(loop, file.path(), settings::check_fleet_file(file.path()).settings,
                  [this](const auto& next) { this->applied.push_back(next); }) {}
 
@@ -61,32 +61,33 @@
 
 }  // namespace
 
-Test(settings_reload, seeds_and_the_directory_service_are_taken) {
+Test(settings_reload, seeds_and_directory_service_are_applied) {
     const settings_file file;
-    reloading node(file);
-    file.write(with(with(good_text, "10.0.0.2:70", "10.0.0.9:70"), "10.0.0.1:80", "10.0.0.8:80"));
+    reloading_node node(file);
+    file.write(with(with(valid_text, "10.0.0.2:70", "10.0.0.9:70"), "10.0.0.1:80", "10.0.0.8:80"));
     node.reload.reload();
     cr_assert(node.applied.size() == 1);
     cr_assert(node.applied[0].seeds[0].address == "10.0.0.9");
     cr_assert(node.applied[0].directory_service.address == "10.0.0.8");
     node.reload.reload();
-    cr_assert(node.applied.size() == 1, "nothing has changed since");
+    cr_assert(node.applied.size() == 1, "an unchanged file is not applied again");
 }
 
-Test(settings_reload, a_file_with_a_mistake_changes_nothing) {
+Test(settings_reload, invalid_file_changes_nothing) {
     const settings_file file;
-    reloading node(file);
-    file.write(with(with(good_text, "10.0.0.2:70", "10.0.0.9:70"), "\"edge\"", "\"leader\""));
+    reloading_node node(file);
+    file.write(with(with(valid_text, "10.0.0.2:70", "10.0.0.9:70"), "\"edge\"", "\"leader\""));
     node.reload.reload();
     std::filesystem::remove(file.path());
     node.reload.reload();
     cr_assert(node.applied.empty());
 }
 
-Test(settings_reload, what_needs_a_restart_is_named_and_not_taken) {
-    const auto current = settings::check_fleet(good_text).settings;
-    const auto next = settings::check_fleet(with(good_text, "10.0.0.4:81", "10.0.0.4:82")).settings;
+Test(settings_reload, field_that_needs_a_restart_is_reported_and_not_applied) {
+    const auto current = settings::check_fleet(valid_text).settings;
+    const auto next =
+        settings::check_fleet(with(valid_text, "10.0.0.4:81", "10.0.0.4:82")).settings;
     const settings_difference difference = compare(current, next);
-    cr_assert(difference.taken.empty());
+    cr_assert(difference.applied.empty());
     cr_assert(difference.need_restart == std::vector<std::string>{"listen.ready"});
 }
--- a/tests/unit/fleet/tenants_test.cc
+++ b/tests/unit/fleet/tenants_test.cc
@@ -1,4 +1,4 @@
-// Keys, tenants and their limits through a whole fleet.
+// Tests keys, tenants and their limits in a whole fleet.
 #include <algorithm>
 
 #include "fleet_fixture.h"
@@ -44,10 +44,10 @@
                            {"tenants", this->tenants}}
                 .dump());
     }
-    /// Every node knows the configuration.
+    /// Waits until every node has the configuration.
     void wait_for_version(std::uint64_t version) {
-        const auto knows = [version](auto& one) {
-            const auto& config = one->node.parts().directory().state().current().config;
+        const auto knows = [version](auto& node) {
+            const auto& config = node->node.parts().directory().state().current().config;
             return config.has_value() && config->version >= version;
         };
         cr_assert(run_until(this->loop, [&] {
@@ -59,7 +59,7 @@
                     const std::string& path = "/plain/x") {
         return this->call(0, path, id, headers).status;
     }
-    client_answer turn_of(const char* key, const std::string& id, const std::string& previous) {
+    client_response turn_of(const char* key, const std::string& id, const std::string& previous) {
         net::http_headers headers{{"Pearbarrow-Key", key},
                                   {"Pearbarrow-Program-Id", "program"},
                                   {"Pearbarrow-Token-Budget", "100"},
@@ -84,18 +84,18 @@
                                        {"Pearbarrow-Pin-Ms", "5"},
                                        {"Pearbarrow-Kv-Backup", "10.0.0.1:80"},
                                        {"Pearbarrow-Request-Priority", "0"}}) == 200);
-    const net::http_headers& told = fleet.tool->runs().front().headers;
+    const net::http_headers& forwarded = fleet.tool->runs().front().headers;
     const auto tenants = std::count_if(
-        told.all().begin(), told.all().end(),
+        forwarded.all().begin(), forwarded.all().end(),
         [](const net::http_header& header) { return header.name == "Pearbarrow-Tenant"; });
-    cr_assert(tenants == 1 && told.find("Pearbarrow-Tenant") == "a");
+    cr_assert(tenants == 1 && forwarded.find("Pearbarrow-Tenant") == "a");
     for (const char* dropped : {"Pearbarrow-Key", "Pearbarrow-Hold", "Kv-From", "Pearbarrow-Pin-Ms",
                                 "Pearbarrow-Kv-Backup", "Pearbarrow-Request-Priority"}) {
-        cr_assert(!told.find(dropped).has_value(), "%s", dropped);
+        cr_assert(!forwarded.find(dropped).has_value(), "%s", dropped);
     }
 }
 
-Test(tenants, without_a_good_key_nothing_runs) {
+Test(tenants, request_without_valid_key_is_not_forwarded) {
     tenants_fixture fleet;
     cr_assert(fleet.status_with("r1", {}) == 401);
     cr_assert(fleet.status_with("r2", {{"Pearbarrow-Key", ""}}) == 401);
@@ -106,7 +106,7 @@
     cr_assert(fleet.tool->runs().empty());
 }
 
-Test(tenants, a_public_route_needs_no_key) {
+Test(tenants, public_route_needs_no_key) {
     tenants_fixture fleet;
     cr_assert(fleet.status_with("r1", {{"Pearbarrow-Tenant", "a"}}, "/open/x") == 200);
     cr_assert(!fleet.tool->runs().front().headers.find("Pearbarrow-Tenant").has_value());
@@ -122,30 +122,30 @@
     cr_assert(fleet.status_with("r3", {{"Pearbarrow-Key", key_of_a}}) == 200);
 }
 
-// Between its attempts a request may wait for seconds, and the key may go meanwhile.
+// Guards against using a revoked key: a request may wait for seconds between its attempts.
 Test(tenants, the_key_is_looked_up_again_before_each_attempt) {
     tenants_fixture fleet;
     auto& other = fleet.add_runner("tool", "i-other");
     cr_assert(run_until(fleet.loop, [&] { return fleet.is_settled(); }));
     fleet.tool->set_fault(runner_fault::hang);
     other.set_fault(runner_fault::hang);
-    std::optional<client_answer> answer;
-    fleet.start_call(0, "/plain/x", "r1", {{"Pearbarrow-Key", key_of_a}}, "", answer);
+    std::optional<client_response> response;
+    fleet.start_call(0, "/plain/x", "r1", {{"Pearbarrow-Key", key_of_a}}, "", response);
     const auto runs = [&] { return fleet.tool->runs().size() + other.runs().size(); };
     cr_assert(run_until(fleet.loop, [&] { return runs() == 1; }));
     fleet.tenants[0]["api_keys"] = {"another-key"};
     fleet.configure_tenants(3);
     fleet.wait_for_version(3);
-    cr_assert(run_until(fleet.loop, [&] { return answer.has_value(); }));
-    cr_assert(answer->status == 401, "%d", answer->status);
+    cr_assert(run_until(fleet.loop, [&] { return response.has_value(); }));
+    cr_assert(response->status == 401, "%d", response->status);
     cr_assert(runs() == 1, "sent to %zu", runs());
 }
 
 Test(tenants, another_tenants_turn_is_as_one_that_does_not_exist) {
     tenants_fixture fleet;
     cr_assert(fleet.turn_of(key_of_a, "t1", "").whole);
-    const client_answer missing = fleet.turn_of(key_of_b, "t2", "never-was");
-    const client_answer foreign = fleet.turn_of(key_of_b, "t3", "t1");
+    const client_response missing = fleet.turn_of(key_of_b, "t2", "never-was");
+    const client_response foreign = fleet.turn_of(key_of_b, "t3", "t1");
     cr_assert(missing.status == 404 && foreign.status == 404);
     const auto without_id = [](std::string body, const std::string& id) {
         return body.replace(body.find(id), id.size(), "");
@@ -159,11 +159,12 @@
     tenants_fixture fleet;
     cr_assert(fleet.turn_of(key_of_a, "t1", "").status == 200);
     cr_assert(fleet.turn_of(key_of_a, "t2", "").status == 200);
-    cr_assert(fleet.turn_of(key_of_a, "t3", "").status == 402, "a budget of 100 holds two of 50");
+    cr_assert(fleet.turn_of(key_of_a, "t3", "").status == 402,
+              "a budget of 100 covers two turns of 50");
     cr_assert(fleet.turn_of(key_of_b, "t4", "").status == 200);
 }
 
-Test(tenants, beyond_its_limit_a_tenant_gets_429_and_nobody_else) {
+Test(tenants, only_the_tenant_beyond_its_limit_gets_429) {
     tenants_fixture fleet;
     fleet.tenants[0]["rate_per_s"] = 3;
     fleet.tenants[0]["burst"] = 6;
@@ -173,12 +174,13 @@
     int served = 0;
     int refused = 0;
     for (int index = 0; index < 20; ++index) {
-        const auto answer = fleet.call(static_cast<std::size_t>(index % 2), "/plain/x",
-                                       "a" + std::to_string(index), {{"Pearbarrow-Key", key_of_a}});
-        served += answer.status == 200 ? 1 : 0;
-        if (answer.status == 429) {
+        const auto response =
+            fleet.call(static_cast<std::size_t>(index % 2), "/plain/x", "a" + std::to_string(index),
+                       {{"Pearbarrow-Key", key_of_a}});
+        served += response.status == 200 ? 1 : 0;
+        if (response.status == 429) {
             ++refused;
-            cr_assert(std::stod(answer.headers.find("Retry-After").value_or("0")) > 0);
+            cr_assert(std::stod(response.headers.find("Retry-After").value_or("0")) > 0);
         }
     }
     cr_assert(served + refused == 20);
@@ -187,21 +189,22 @@
     cr_assert(fleet.status_with("b1", {{"Pearbarrow-Key", key_of_b}}) == 200);
 }
 
-Test(tenants, while_nobody_counts_a_limited_tenant_is_not_served_and_told_so) {
+Test(tenants, limited_tenant_gets_503_without_storage_members) {
     tenants_fixture fleet;
     fleet.tenants[0]["rate_per_s"] = 100;
     fleet.tenants[0]["burst"] = 100;
     fleet.configure_tenants(3);
     fleet.wait_for_version(3);
     fleet.storages.clear();
-    const auto answer = fleet.call(0, "/plain/x", "r1", {{"Pearbarrow-Key", key_of_a}});
-    cr_assert(answer.status == 503 && answer.headers.find("Retry-After").has_value());
+    const auto response = fleet.call(0, "/plain/x", "r1", {{"Pearbarrow-Key", key_of_a}});
+    cr_assert(response.status == 503 && response.headers.find("Retry-After").has_value());
     cr_assert(fleet.tool->runs().empty());
     cr_assert(fleet.status_with("r2", {{"Pearbarrow-Key", key_of_b}}) == 200);
 }
 
-// A program that loops without end goes on asking: what it isn't given may not cost its tenant.
-Test(tenants, a_turn_that_its_budget_does_not_hold_takes_nothing_of_the_limit) {
+// Guards against charging refused turns: a program in an endless loop keeps sending requests, and
+// those beyond its budget must not consume the limit of its tenant.
+Test(tenants, turn_beyond_its_budget_does_not_use_the_limit) {
     tenants_fixture fleet;
     fleet.tenants[0]["rate_per_s"] = 3;
     fleet.tenants[0]["burst"] = 9;
@@ -216,9 +219,9 @@
     cr_assert(fleet.status_with("r1", {{"Pearbarrow-Key", key_of_a}}) == 200);
 }
 
-// After a loss of power all callers come back while the members still read their disks: what a
-// member's shares gain in that time is nobody else's.
-Test(tenants, a_member_that_reads_its_disk_for_long_has_what_its_shares_gained_meanwhile) {
+// Guards against refusing requests after a power failure: all callers return while the members
+// still read their disks, and no other member grants what the shares of a member gain in this time.
+Test(tenants, shares_refill_while_a_member_reads_its_disk) {
     tenants_fixture fleet(1);
     fleet.tenants[0]["rate_per_s"] = 10;
     fleet.tenants[0]["burst"] = 1;
@@ -230,16 +233,17 @@
     fleet.storage_settings[0].quota_slack = 20;
     fleet.storage_settings[0].quota_window = std::chrono::milliseconds(5'000);
     fleet.start_storage(0, std::chrono::milliseconds(1'000));
-    int asked = 0;
+    int request_count = 0;
     const auto status = [&] {
-        return fleet.status_with("r" + std::to_string(++asked), {{"Pearbarrow-Key", key_of_a}});
+        return fleet.status_with("r" + std::to_string(++request_count),
+                                 {{"Pearbarrow-Key", key_of_a}});
     };
     while (status() == 503) {
-        cr_assert(asked < 50, "the member answers again");
+        cr_assert(request_count < 50, "the member does not reply again");
     }
     int served = 0;
     for (int index = 0; index < 8; ++index) {
         served += status() == 200 ? 1 : 0;
     }
-    cr_assert(served == 8, "%d of 8 where a second's 10 are due", served);
+    cr_assert(served == 8, "%d of 8 served, although a second refills 10", served);
 }
--- a/tests/unit/fleet/turns_test.cc
+++ b/tests/unit/fleet/turns_test.cc
@@ -1,4 +1,4 @@
-// Turns of agent programs through a whole fleet: history, budget, lost members.
+// Tests turns of agent programs in a whole fleet: history, budget, and loss of members.
 #include "fleet_fixture.h"
 #include "pearbarrow/turns/replica_groups.h"
 
@@ -8,26 +8,26 @@
 using namespace pearbarrow::fleet::testing;
 using emulator::runner_fault;
 
-Test(turns, a_turn_goes_on_from_the_one_it_names_through_any_edge) {
+Test(turns, turn_continues_its_previous_turn_through_any_edge) {
     fleet_fixture fleet;
     fleet.make_ready();
     const auto first = fleet.turn(0, "t1", "", "hello ");
     cr_assert(first.status == 200 && first.whole, "%d %s", first.status, first.body.c_str());
     cr_assert(fleet.turn(1, "t2", "t1", "again").status == 200);
     cr_assert(fleet.model->runs().back().body == "hello i-model-1\ni-model-2\ni-model-3\nagain");
-    // Another line may go on from the same turn.
+    // A second branch may continue from the same turn.
     cr_assert(fleet.turn(0, "t3", "t1", "else").status == 200);
     cr_assert(fleet.model->runs().back().body == "hello i-model-1\ni-model-2\ni-model-3\nelse");
 }
 
-Test(turns, a_turn_that_names_none_is_404_and_does_not_run) {
+Test(turns, turn_with_unknown_previous_turn_is_404) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "never", "hello").status == 404);
     cr_assert(fleet.model->runs().empty());
 }
 
-Test(turns, with_a_member_away_an_unknown_turn_is_503) {
+Test(turns, unknown_turn_is_503_while_a_member_is_down) {
     fleet_fixture fleet;
     fleet.make_ready();
     fleet.storages[2].reset();
@@ -37,18 +37,18 @@
 Test(turns, the_budget_holds_over_all_edges) {
     fleet_fixture fleet;
     fleet.make_ready();
-    // Each turn makes 3 events of 10 tokens, and may make 50.
+    // Each turn generates 3 events of 10 tokens, and may generate 50 tokens.
     cr_assert(fleet.turn(0, "t1", "", "a", 110).status == 200);
     cr_assert(fleet.turn(1, "t2", "t1", "b", 110).status == 200);
     cr_assert(fleet.turn(0, "t3", "t2", "c", 110).status == 200 || fleet.model->runs().size() == 2);
     cr_assert(fleet.turn(1, "t4", "t2", "d", 110).status == 402);
 }
 
-Test(turns, a_turn_that_was_not_stored_by_most_does_not_end_whole) {
+Test(turns, turn_without_stored_majority_is_incomplete) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "a").whole);
-    std::optional<client_answer> result;
+    std::optional<client_response> result;
     fleet.start_call(0, "/turn/x", "t2",
                      {{"Pearbarrow-Program-Id", "program"},
                       {"Pearbarrow-Token-Budget", "1000"},
@@ -61,14 +61,14 @@
     cr_assert(!result->whole);
 }
 
-Test(turns, disks_that_are_lost_one_after_the_other_lose_no_turn) {
+Test(turns, successive_disk_losses_lose_no_turn) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "kept ").whole);
     for (std::size_t index = 0; index < 3; ++index) {
         fleet.wipe_storage(index);
         fleet.start_storage(index);
-        // A member with a new disk counts only once it has copied everything.
+        // A member with a new disk is a voter only after it has copied all data.
         cr_assert(run_until(fleet.loop, [&] { return fleet.storages[index]->node.is_complete(); }));
     }
     cr_assert(fleet.turn(1, "t2", "t1", "more").whole);
@@ -91,7 +91,7 @@
     cr_assert(fleet.turn(1, "t2", "t1", "more").whole);
 }
 
-Test(turns, a_member_that_is_gone_for_good_is_replaced) {
+Test(turns, permanently_lost_member_is_replaced) {
     fleet_fixture fleet(4);
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "kept ").whole);
@@ -103,7 +103,7 @@
     cr_assert(fleet.turn(1, "t2", "t1", "more").whole);
 }
 
-Test(turns, an_emptied_member_reports_when_the_others_hold_everything) {
+Test(turns, retiring_member_reports_completion) {
     fleet_fixture fleet(4);
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "kept ").whole);
@@ -137,10 +137,10 @@
 namespace {
 
 /// Nine storage members in three replica groups.
-struct fleet_of_groups : fleet_fixture {
-    fleet_of_groups() : fleet_fixture(9, 2, false) {
-        for (settings::fleet_settings& one : storage_settings) {
-            one.tolerated_losses = 0;
+struct grouped_fleet_fixture : fleet_fixture {
+    grouped_fleet_fixture() : fleet_fixture(9, 2, false) {
+        for (settings::fleet_settings& node : storage_settings) {
+            node.tolerated_losses = 0;
         }
         start_everything();
         make_ready();
@@ -148,7 +148,7 @@
     const directory::storage_view& view() {
         return *edges[0]->node.parts().directory().state().current().storage;
     }
-    /// A program that the group keeps.
+    /// Returns a program whose turns the group stores.
     std::string program_in(std::uint32_t group) {
         for (int index = 0;; ++index) {
             const std::string program = "program-" + std::to_string(index);
@@ -157,8 +157,8 @@
             }
         }
     }
-    client_answer turn_of(const std::string& program, const std::string& id,
-                          const std::string& previous, const std::string& body) {
+    client_response turn_of(const std::string& program, const std::string& id,
+                            const std::string& previous, const std::string& body) {
         net::http_headers headers{{"Pearbarrow-Program-Id", program},
                                   {"Pearbarrow-Token-Budget", "1000"},
                                   {"Pearbarrow-Token-Usage", "100,50"}};
@@ -167,7 +167,7 @@
         }
         return call(0, "/turn/x", id, headers, body);
     }
-    void stop_one_of(std::uint32_t group) {
+    void stop_member_of(std::uint32_t group) {
         for (std::size_t index = 0; index < storages.size(); ++index) {
             const auto* entry = view().find(storage_settings[index].node);
             if (entry->group == group && storages[index] != nullptr) {
@@ -181,40 +181,41 @@
 }  // namespace
 
 Test(turns, a_program_of_one_group_goes_on_from_one_of_another) {
-    fleet_of_groups fleet;
+    grouped_fleet_fixture fleet;
     cr_assert(fleet.view().groups == 3);
     cr_assert(fleet.turn_of(fleet.program_in(0), "t1", "", "one ").whole);
     cr_assert(fleet.turn_of(fleet.program_in(0), "t2", "t1", "two ").whole);
     cr_assert(fleet.turn_of(fleet.program_in(1), "t3", "t2", "three").whole);
     cr_assert(fleet.model->runs().back().body ==
               "one i-model-1\ni-model-2\ni-model-3\ntwo i-model-1\ni-model-2\ni-model-3\nthree");
-    // The second group has it all now: the first is not needed any more.
+    // The second group now stores the whole history, so the first is no longer needed.
     for (int member = 0; member < 3; ++member) {
-        fleet.stop_one_of(0);
+        fleet.stop_member_of(0);
     }
-    const auto answer = fleet.turn_of(fleet.program_in(1), "t4", "t3", "four");
-    cr_assert(answer.status == 200 && answer.whole, "%d", answer.status);
+    const auto response = fleet.turn_of(fleet.program_in(1), "t4", "t3", "four");
+    cr_assert(response.status == 200 && response.whole, "%d", response.status);
     cr_assert(fleet.model->runs().back().body.find("one i-model-1") == 0);
 }
 
 Test(turns, each_group_bears_the_loss_of_a_member) {
-    fleet_of_groups fleet;
+    grouped_fleet_fixture fleet;
     for (std::uint32_t group = 0; group < 3; ++group) {
         const std::string name = std::to_string(group);
         cr_assert(fleet.turn_of(fleet.program_in(group), "a" + name, "", "hello").whole);
-        fleet.stop_one_of(group);
+        fleet.stop_member_of(group);
     }
     for (std::uint32_t group = 0; group < 3; ++group) {
         const std::string name = std::to_string(group);
-        const auto answer = fleet.turn_of(fleet.program_in(group), "b" + name, "a" + name, "again");
-        cr_assert(answer.status == 200 && answer.whole, "group %u: %d", group, answer.status);
+        const auto response =
+            fleet.turn_of(fleet.program_in(group), "b" + name, "a" + name, "again");
+        cr_assert(response.status == 200 && response.whole, "group %u: %d", group, response.status);
     }
 }
 
 Test(turns, an_unknown_turn_is_404_only_while_every_member_of_every_group_answers) {
-    fleet_of_groups fleet;
+    grouped_fleet_fixture fleet;
     cr_assert(fleet.turn_of(fleet.program_in(0), "t1", "never", "hello").status == 404);
-    fleet.stop_one_of(2);
+    fleet.stop_member_of(2);
     cr_assert(fleet.turn_of(fleet.program_in(0), "t2", "never", "hello").status == 503);
     cr_assert(fleet.model->runs().empty());
 }
