--- a/src/pearbarrow/backend/engine_json.cc
+++ b/src/pearbarrow/backend/engine_json.cc
@@ -66,7 +66,7 @@
 }  // namespace
 
 std::uint64_t count_prompt_tokens(const std::vector<chat_message>& messages) {
-    std::uint64_t tokens = base::answer_header_tokens;
+    std::uint64_t tokens = base::response_header_tokens;
     for (const auto& message : messages) {
         tokens += base::message_overhead_tokens + base::estimate_tokens(message.content);
     }
--- a/src/pearbarrow/base/status.cc
+++ b/src/pearbarrow/base/status.cc
@@ -75,7 +75,7 @@
     return details;
 }
 
-absl::Status at_step(absl::Status status, std::string_view step, std::string_view peer) {
+absl::Status with_step(absl::Status status, std::string_view step, std::string_view peer) {
     if (status.ok() || status.GetPayload(to_absl(step_key)).has_value()) {
         return status;
     }
--- a/src/pearbarrow/base/status.h
+++ b/src/pearbarrow/base/status.h
@@ -40,6 +40,6 @@
 error_details details_of(const absl::Status& status);
 
 /// Adds `step` and `peer` to an error status without a step. Other statuses are returned unchanged.
-absl::Status at_step(absl::Status status, std::string_view step, std::string_view peer);
+absl::Status with_step(absl::Status status, std::string_view step, std::string_view peer);
 
 }  // namespace pearbarrow::base
--- a/src/pearbarrow/base/tokens.h
+++ b/src/pearbarrow/base/tokens.h
@@ -12,11 +12,11 @@
 /// Tokens for the role and the separators of each message in a prompt, in addition to its content.
 inline constexpr std::uint64_t message_overhead_tokens = 4;
 /// Tokens at the end of every prompt that start the response of the engine.
-inline constexpr std::uint64_t answer_header_tokens = 4;
+inline constexpr std::uint64_t response_header_tokens = 4;
 
 /// Returns the number of tokens in `text`: its size in bytes divided by four, rounded up. A prompt
 /// costs `message_overhead_tokens + estimate_tokens(content)` for each message, plus
-/// `answer_header_tokens`.
+/// `response_header_tokens`.
 constexpr std::uint64_t estimate_tokens(std::string_view text) {
     return (text.size() + bytes_per_token - 1) / bytes_per_token;
 }
--- a/src/pearbarrow/bench/faults_backends.cc
+++ b/src/pearbarrow/bench/faults_backends.cc
@@ -22,7 +22,7 @@
 constexpr double tool_refusal_chance = 0.05;
 
 std::uint64_t tokens_of(const std::vector<wire::chat_message>& messages) {
-    std::uint64_t tokens = base::answer_header_tokens;
+    std::uint64_t tokens = base::response_header_tokens;
     for (const wire::chat_message& message : messages) {
         tokens += base::message_overhead_tokens + base::estimate_tokens(message.content);
     }
--- a/src/pearbarrow/bench/faults_cell.cc
+++ b/src/pearbarrow/bench/faults_cell.cc
@@ -122,7 +122,7 @@
         return;
     }
     const wire::placement_offer& offer = waiting.mapped().offer;
-    if (reply.answer == wire::placement_answer::granted) {
+    if (reply.answer == wire::placement_outcome::granted) {
         granted_[reply.attempt] = {offer.owner, offer.program, reply.backend};
     }
     if (!waiting.mapped().reply(reply)) {
--- a/src/pearbarrow/bench/faults_placement.cc
+++ b/src/pearbarrow/bench/faults_placement.cc
@@ -48,7 +48,7 @@
     offer.attained_tokens = call.attained_tokens;
     offer.waited_ms = static_cast<std::uint64_t>(call.waited.count());
     offer.depth = call.sub_program ? 1 : 0;
-    offer.avoid = call.avoid;
+    offer.excluded_engines = call.avoid;
     offer.deadline_ms =
         static_cast<std::uint64_t>(std::max<std::int64_t>(call.time_left.count(), 0));
     offer.program_age_ms = static_cast<std::uint64_t>(call.program_age.count());
@@ -133,7 +133,7 @@
         return;
     }
     const program::offer_id id = found->second.id;
-    if (reply.answer == wire::placement_answer::refused) {
+    if (reply.answer == wire::placement_outcome::refused) {
         placements_.erase(found);
         offers_.erase(id);
         deliver(event::placement_refused{id, to_status(reply), reply.decision});
--- a/src/pearbarrow/directory/directory_state.cc
+++ b/src/pearbarrow/directory/directory_state.cc
@@ -129,7 +129,7 @@
            own.retirements > known.retirements || own.emptied_zones > known.emptied_zones;
 }
 
-directory_update directory_state::newer_than(const directory_versions& known) const {
+directory_update directory_state::update_since(const directory_versions& known) const {
     return update_for({.known = known});
 }
 
--- a/src/pearbarrow/directory/directory_state.h
+++ b/src/pearbarrow/directory/directory_state.h
@@ -90,7 +90,7 @@
     /// revision do not count.
     bool has_changes_for(const directory_versions& known) const;
     /// Returns the parts that a node with the versions `known` lacks.
-    directory_update newer_than(const directory_versions& known) const;
+    directory_update update_since(const directory_versions& known) const;
     /// Returns the same parts in a form that the receiver accepts.
     directory_update update_for(const update_receiver& receiver) const;
     const backend_index& index() const { return index_; }
--- a/src/pearbarrow/directory/snapshot.h
+++ b/src/pearbarrow/directory/snapshot.h
@@ -127,9 +127,9 @@
 };
 
 /// One incarnation of a back end: the lifetime of one process.
-struct backend_run {
+struct backend_incarnation {
     /// A back end that does not report its start time is identified by its id alone.
-    explicit backend_run(std::string id, std::uint64_t started_at = 0)
+    explicit backend_incarnation(std::string id, std::uint64_t started_at = 0)
         : id(std::move(id)), started_at(started_at) {}
 
     std::string id;
@@ -137,7 +137,7 @@
     /// back between two incarnations.
     std::uint64_t started_at = 0;
 
-    bool operator==(const backend_run&) const = default;
+    bool operator==(const backend_incarnation&) const = default;
 };
 
 /// A process that executes requests.
@@ -160,7 +160,7 @@
     /// the newer one wins, whichever list it came in. 0: unknown.
     std::uint64_t written_at = 0;
 
-    backend_run run() const { return backend_run(id, started_at); }
+    backend_incarnation incarnation() const { return backend_incarnation(id, started_at); }
     bool operator==(const backend&) const = default;
     MSGPACK_DEFINE(id, service, address, zone, slots, draining, started_at, cold_left_ms,
                    written_at);
--- a/src/pearbarrow/dispatch/load_report.h
+++ b/src/pearbarrow/dispatch/load_report.h
@@ -30,7 +30,7 @@
     std::uint32_t served = 0;
     std::uint32_t failed = 0;
     /// Mean time per event of a stream, or of a whole response that is not a stream; 0: unknown.
-    std::uint32_t pace_us = 0;
+    std::uint32_t event_interval_us = 0;
     /// Tokens of prompts that were sent there and have no first event yet.
     std::uint32_t unread_tokens = 0;
 
@@ -48,7 +48,7 @@
         packer.pack(this->requests);
         packer.pack(this->served);
         packer.pack(this->failed);
-        packer.pack(to_steps(this->pace_us, event_interval_step));
+        packer.pack(to_steps(this->event_interval_us, event_interval_step));
         packer.pack(to_steps(this->unread_tokens, token_step));
     }
     /// Throws `msgpack::type_error`, as the converters of the library do.
@@ -62,9 +62,9 @@
         field[2].convert(this->served);
         field[3].convert(this->failed);
         this->unread_tokens = 0;
-        field[4].convert(this->pace_us);
+        field[4].convert(this->event_interval_us);
         if (object.via.array.size >= field_count) {
-            this->pace_us = from_steps(this->pace_us, event_interval_step);
+            this->event_interval_us = from_steps(this->event_interval_us, event_interval_step);
             this->unread_tokens = from_steps(field[5].as<std::uint32_t>(), token_step);
         }
     }
@@ -86,25 +86,25 @@
 struct load_report {
     base::node_id node;
     /// Random incarnation of the node, chosen at its start; 0: the message contains no report.
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     /// Increases with each report of an incarnation.
     std::uint64_t number = 0;
     std::vector<backend_load> loads;
     /// Requests the totals in the reply.
     bool wants_totals = false;
 
-    MSGPACK_DEFINE(node, life, number, loads, wants_totals);
+    MSGPACK_DEFINE(node, incarnation, number, loads, wants_totals);
 };
 
 /// Requests in flight of all nodes except the requesting one, as reported to the replying node.
 struct load_totals {
     /// False if the message contains no totals.
-    bool is_given = false;
+    bool is_present = false;
     /// Time for which the replying node has collected reports. Milliseconds.
-    std::uint32_t gathered_ms = 0;
+    std::uint32_t collection_time_ms = 0;
     std::vector<backend_load> loads;
 
-    MSGPACK_DEFINE(is_given, gathered_ms, loads);
+    MSGPACK_DEFINE(is_present, collection_time_ms, loads);
 };
 
 /// Interface of a node: creates its report and receives the totals of the others.
@@ -112,7 +112,7 @@
   public:
     virtual ~load_exchange() = default;
     virtual load_report report(bool wants_totals) = 0;
-    virtual void take(const load_totals& totals) = 0;
+    virtual void apply_totals(const load_totals& totals) = 0;
 };
 
 }  // namespace pearbarrow::dispatch
--- a/src/pearbarrow/dispatch/load_board.cc
+++ b/src/pearbarrow/dispatch/load_table.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/dispatch/load_board.h"
+#include "pearbarrow/dispatch/load_table.h"
 
 #include <algorithm>
 #include <limits>
@@ -12,15 +12,15 @@
 /// Mean of the event intervals that two nodes observed at one back end, weighted by their requests
 /// there.
 std::uint32_t mean_event_interval(const backend_load& left, const backend_load& right) {
-    if (left.pace_us == 0 || right.pace_us == 0) {
-        return std::max(left.pace_us, right.pace_us);
+    if (left.event_interval_us == 0 || right.event_interval_us == 0) {
+        return std::max(left.event_interval_us, right.event_interval_us);
     }
     const std::uint64_t requests = std::uint64_t{left.requests} + right.requests;
     if (requests == 0) {
-        return (left.pace_us + right.pace_us) / 2;
+        return (left.event_interval_us + right.event_interval_us) / 2;
     }
-    return static_cast<std::uint32_t>((std::uint64_t{left.pace_us} * left.requests +
-                                       std::uint64_t{right.pace_us} * right.requests) /
+    return static_cast<std::uint32_t>((std::uint64_t{left.event_interval_us} * left.requests +
+                                       std::uint64_t{right.event_interval_us} * right.requests) /
                                       requests);
 }
 
@@ -30,7 +30,7 @@
     return static_cast<backend_key>(base::stable_hash(backend, started_at));
 }
 
-void load_board::take(const load_report& report, base::instant now) {
+void load_table::apply_report(const load_report& report, base::instant now) {
     if (!this->store(report, now, this->last_report_number + 1)) {
         return;
     }
@@ -40,11 +40,11 @@
     }
 }
 
-void load_board::take_passed_on(const load_report& report, base::instant now) {
+void load_table::apply_forwarded_report(const load_report& report, base::instant now) {
     this->store(report, now, 0);
 }
 
-std::vector<load_report> load_board::reports_after(std::uint64_t number) const {
+std::vector<load_report> load_table::reports_after(std::uint64_t number) const {
     std::vector<load_report> found;
     for (const auto& [node, stored] : this->reports) {
         if (stored.number > number) {
@@ -54,14 +54,14 @@
     return found;
 }
 
-bool load_board::store(const load_report& report, base::instant now, std::uint64_t number) {
-    if (report.life == 0) {
+bool load_table::store(const load_report& report, base::instant now, std::uint64_t number) {
+    if (report.incarnation == 0) {
         return false;
     }
     const auto found = this->reports.find(report.node);
     // Reports may arrive out of order, because they are attached to messages that may be sent
     // again.
-    if (found != this->reports.end() && found->second.report.life == report.life &&
+    if (found != this->reports.end() && found->second.report.incarnation == report.incarnation &&
         found->second.report.number >= report.number) {
         return false;
     }
@@ -69,10 +69,10 @@
     return true;
 }
 
-load_totals load_board::totals_without(const base::node_id& node, base::instant now) {
+load_totals load_table::totals_excluding(const base::node_id& node, base::instant now) {
     this->remove_expired(now);
     std::map<backend_key, backend_load> sums;
-    load_totals totals{.is_given = true};
+    load_totals totals{.is_present = true};
     for (const auto& [other, stored] : this->reports) {
         if (other == node) {
             continue;
@@ -80,7 +80,7 @@
         for (const backend_load& load : stored.report.loads) {
             backend_load& sum = sums[load.backend];
             sum.backend = load.backend;
-            sum.pace_us = mean_event_interval(sum, load);
+            sum.event_interval_us = mean_event_interval(sum, load);
             sum.requests += load.requests;
             sum.served += load.served;
             sum.failed += load.failed;
@@ -92,12 +92,12 @@
     }
     const auto collection_time =
         std::chrono::duration_cast<base::milliseconds>(now - this->started_at);
-    totals.gathered_ms = static_cast<std::uint32_t>(
+    totals.collection_time_ms = static_cast<std::uint32_t>(
         std::min<std::int64_t>(collection_time.count(), std::numeric_limits<std::uint32_t>::max()));
     return totals;
 }
 
-void load_board::remove_expired(base::instant now) {
+void load_table::remove_expired(base::instant now) {
     std::erase_if(this->reports, [&](const auto& item) {
         return now - item.second.received_at > this->options.report_lifetime;
     });
--- a/src/pearbarrow/dispatch/load_board.h
+++ b/src/pearbarrow/dispatch/load_table.h
@@ -20,15 +20,15 @@
     base::milliseconds report_lifetime{2'000};
 };
 
-class load_board {
+class load_table {
   public:
-    load_board(load_table_options options, base::instant now) : options(options), started_at(now) {}
+    load_table(load_table_options options, base::instant now) : options(options), started_at(now) {}
 
     /// Applies a report that the node itself sent. An older report of the same incarnation is
     /// ignored.
-    void take(const load_report& report, base::instant now);
+    void apply_report(const load_report& report, base::instant now);
     /// Applies a report that another load table forwarded. It is not forwarded again.
-    void take_passed_on(const load_report& report, base::instant now);
+    void apply_forwarded_report(const load_report& report, base::instant now);
     /// Sets a callback that runs after each new report that the node itself sent.
     void on_report(std::function<void()> callback) { this->report_handler = std::move(callback); }
     /// Number of the latest report received from a node itself; 0: none.
@@ -36,7 +36,7 @@
     /// Returns the reports received from nodes themselves after report `number`, the newest of each
     /// node.
     std::vector<load_report> reports_after(std::uint64_t number) const;
-    load_totals totals_without(const base::node_id& node, base::instant now);
+    load_totals totals_excluding(const base::node_id& node, base::instant now);
     std::size_t node_count() const { return this->reports.size(); }
 
   private:
--- a/src/pearbarrow/dispatch/shared_load.cc
+++ b/src/pearbarrow/dispatch/shared_load.cc
@@ -2,9 +2,9 @@
 
 namespace pearbarrow::dispatch {
 
-void shared_load::take(const load_totals& totals, base::instant now) {
-    if (!totals.is_given ||
-        base::milliseconds{totals.gathered_ms} < this->options.min_collection_time) {
+void shared_load::apply_totals(const load_totals& totals, base::instant now) {
+    if (!totals.is_present ||
+        base::milliseconds{totals.collection_time_ms} < this->options.min_collection_time) {
         return;
     }
     this->loads.clear();
--- a/src/pearbarrow/dispatch/shared_load.h
+++ b/src/pearbarrow/dispatch/shared_load.h
@@ -25,7 +25,7 @@
   public:
     explicit shared_load(shared_load_options options) : options(options) {}
 
-    void take(const load_totals& totals, base::instant now);
+    void apply_totals(const load_totals& totals, base::instant now);
     /// Whether recent totals are available.
     bool is_known(base::instant now) const;
     /// Returns the load of the other nodes at the back end, or zeros if it is unknown.
--- a/src/pearbarrow/emulator/prompt_blocks.cc
+++ b/src/pearbarrow/emulator/prompt_blocks.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t header_bytes = base::message_overhead_tokens * base::bytes_per_token;
-static_assert(base::message_overhead_tokens == base::answer_header_tokens);
+static_assert(base::message_overhead_tokens == base::response_header_tokens);
 
 void append_header(std::string& rendered, std::string_view role) {
     std::string header = "<|" + std::string(role.substr(0, header_bytes - 4)) + "|>";
--- a/src/pearbarrow/fleet/directory_copy.cc
+++ b/src/pearbarrow/fleet/directory_copy.cc
@@ -22,7 +22,7 @@
     turns::store_change change;
     if (changed.config || changed.storage || changed.retirements || changed.emptied_zones) {
         const directory::directory_versions versions = known.versions();
-        change.directory = wire::encode(known.newer_than(
+        change.directory = wire::encode(known.update_since(
             {.backends = versions.backends, .backends_digest = versions.backends_digest}));
     }
     for (const directory::backend& backend : changed.step.present) {
--- a/src/pearbarrow/fleet/edge_node.cc
+++ b/src/pearbarrow/fleet/edge_node.cc
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "pearbarrow/fleet/place_gauges.h"
 #include "pearbarrow/fleet/traffic_names.h"
-#include "pearbarrow/places/storage_places.h"
+#include "pearbarrow/fleet/zone_gauges.h"
+#include "pearbarrow/places/storage_zones.h"
 
 namespace pearbarrow::fleet {
 namespace {
@@ -25,7 +25,7 @@
 
 net::http_client_options client_options(const node_parts& parts) {
     net::http_client_options options;
-    options.held = parts.held();
+    options.buffered = parts.buffered();
     options.max_idle_connections_per_server = 8;
     // A node of a large fleet sends to the same engine every 4 s on average. An idle lifetime of
     // 4 s leads to 22,900 connections for 95,600 requests, and 9 s with an even choice among equal
@@ -50,20 +50,20 @@
 forward::reporter_options reporter_options(const settings::fleet_settings& settings,
                                            base::random_source& random) {
     return {.node = settings.node,
-            .life = random.next() | 1U,
+            .incarnation = random.next() | 1U,
             .share_load = settings.dispatch.share_load};
 }
 
-std::unique_ptr<forward::program_gate> make_admission(const settings::fleet_settings& settings,
-                                                      base::random_source& random) {
-    return settings.dispatch.bounds_programs ? forward::make_learning_gate({}, random)
-                                             : forward::make_open_gate();
+std::unique_ptr<forward::program_admission> make_admission(const settings::fleet_settings& settings,
+                                                           base::random_source& random) {
+    return settings.dispatch.limits_programs ? forward::make_adaptive_admission({}, random)
+                                             : forward::make_unlimited_admission();
 }
 
 net::http_server_options caller_options(const node_parts& parts) {
     net::http_server_options options;
     options.listen = to_endpoint(parts.settings().caller);
-    options.held = parts.held();
+    options.buffered = parts.buffered();
     options.write_timeout = caller_write_timeout;
     options.max_pending_bytes = std::size_t{4} * 1024 * 1024;
     options.max_receiving_bytes = std::size_t{24} * 1024 * 1024;
@@ -77,11 +77,11 @@
     : parts_(loop, clock, settings, [this](const auto& changed) { apply_changes(changed); }),
       log_(clock, parts_.metrics(), {}),
       client_(net::make_http_client(loop, client_options(parts_))),
-      places_(settings.regions),
+      zone_rules_(settings.regions),
       pool_(pool_options(settings), parts_.random()),
       load_(clock, pool_, reporter_options(settings, parts_.random())),
       admission_(make_admission(settings, parts_.random())),
-      relay_(parts_.rpc(), [this](std::uint32_t group) { return members_.is_cut(group); }),
+      relay_(parts_.rpc(), [this](std::uint32_t group) { return members_.lacks_majority(group); }),
       members_(loop, parts_.rpc(), clock, {}, [this] { return relay_peer(); }),
       turns_(loop, clock, members_, {.loads = &load_, .zone = settings.zone}),
       quotas_(loop, clock, members_, {}),
@@ -94,24 +94,24 @@
                .pool = pool_,
                .turns = turns_,
                .quotas = quotas_,
-               .gate = *admission_,
+               .admission = *admission_,
                .log = log_,
                .options = std::move(options),
                .active = nullptr,
-               .hears_of_changes =
+               .receives_updates =
                    [this] {
                        const auto& exchange = parts_.directory();
                        return exchange.peer_count() == 0 || exchange.is_connected();
                    },
-               .places = &places_,
+               .zone_rules = &zone_rules_,
                .permits = &permits_,
                .traffic = forward::backend_traffic(distances_from(settings)),
-               .held = parts_.held()},
+               .buffered = parts_.buffered()},
       service_(context_) {
-    pool_.set_places(places_);
+    pool_.set_zone_rules(zone_rules_);
     pool_.set_cold_table(cold_);
     context_.options.permit_lifetime = permit_client_.limits().grant_lifetime;
-    context_.options.tells_priority = settings.dispatch.tells_priority;
+    context_.options.sends_priority = settings.dispatch.sends_priority;
     parts_.gauges().add([this](base::metrics_registry& registry) {
         collect(registry);
         parts_.gauges().collect_traffic(context_.traffic);
@@ -144,7 +144,8 @@
     // Without the list of back ends the node can only reject requests. In a fleet of 985 nodes, 55
     // nodes that started together did so for up to 2 s, and programs whose retries reached several
     // of them failed.
-    return !stopping_ && service_.is_configured() && places_.knows_emptied() && has_backends_;
+    return !stopping_ && service_.is_configured() && zone_rules_.is_emptied_list_known() &&
+           has_backends_;
 }
 
 void edge_node::respond_readiness(const std::shared_ptr<net::http_exchange>& exchange) const {
@@ -157,7 +158,7 @@
         service_.set_configuration(*known.config);
         cold_.set_configuration(*known.config);
         update_gap_polling();
-        regions_restricted_ = places::binds_regions(*known.config);
+        regions_restricted_ = places::has_region_limits(*known.config);
         members_.forget_relay();
         const directory::traffic_limits& limits = known.config->limits;
         callers_->set_limits(
@@ -165,7 +166,7 @@
             base::milliseconds{std::max(limits.header_timeout_ms, limits.idle_timeout_ms)});
     }
     if (changed.emptied_zones) {
-        places_.set_emptied(*known.emptied_zones, parts_.clock().now());
+        zone_rules_.set_emptied(*known.emptied_zones, parts_.clock().now());
         log_emptied_zones(*known.emptied_zones);
         cold_.set_emptied_zones(*known.emptied_zones, parts_.clock().now());
     }
@@ -182,13 +183,13 @@
         permit_client_.set_view(*known.storage);
     }
     if ((changed.config || changed.storage) && regions_restricted_ && known.storage.has_value()) {
-        log_unpermitted_storage(places_, *known.config, *known.storage);
+        log_unpermitted_storage(zone_rules_, *known.config, *known.storage);
     }
 }
 
 /// A fleet without cold rates needs no timer that runs ten times a second.
 void edge_node::update_gap_polling() {
-    if (!cold_.is_needed()) {
+    if (!cold_.has_cold_rates()) {
         gap_poll_timer_ = nullptr;
     } else if (gap_poll_timer_ == nullptr) {
         gap_poll_timer_ = parts_.loop().every(gap_poll_interval, [this] { poll_update_gap(); });
@@ -198,7 +199,7 @@
 void edge_node::poll_update_gap() {
     const bool was_connected = std::exchange(is_connected_, parts_.directory().is_connected());
     if (!was_connected && is_connected_) {
-        cold_.note_gap(parts_.clock().now());
+        cold_.on_update_gap(parts_.clock().now());
     }
 }
 
@@ -207,7 +208,7 @@
         .set(is_ready() ? 1 : 0);
     registry
         .add_gauge("pearbarrow_storage_cut", "1 while most storage members don't answer this node")
-        .set(members_.is_cut() ? 1 : 0);
+        .set(members_.lacks_majority() ? 1 : 0);
     registry
         .add_gauge("pearbarrow_storage_relayed_calls_total",
                    "Calls to storage members that went through a peer")
@@ -224,13 +225,13 @@
     registry
         .add_gauge("pearbarrow_turns_turned_away_total",
                    "Turns refused since the storage members have too much to do")
-        .set(static_cast<double>(admission.turned_away));
-    collect_zone_rules(registry, places_, pool_);
+        .set(static_cast<double>(admission.rejected));
+    collect_zone_rules(registry, zone_rules_, pool_);
     const base::instant now = parts_.clock().now();
     registry
         .add_gauge("pearbarrow_dispatch_load_known",
                    "1 while the load of other nodes has been told within the last second")
-        .set(load_.elsewhere().is_known(now) ? 1 : 0);
+        .set(load_.remote_load().is_known(now) ? 1 : 0);
     registry
         .add_gauge("pearbarrow_dispatch_backends_failing",
                    "Back ends passed over since a quarter of their latest requests failed")
@@ -267,7 +268,7 @@
     stopping_ = true;
     on_stopped_ = std::move(done);
     stop_deadline_ = parts_.clock().now() + parts_.settings().stop_timeout - exit_margin;
-    callers_->begin_closing();
+    callers_->disable_keep_alive();
     stop_timer_ = parts_.loop().after(drain_notice, [this] {
         callers_->stop_accepting();
         finish_when_idle();
--- a/src/pearbarrow/fleet/edge_node.h
+++ b/src/pearbarrow/fleet/edge_node.h
@@ -9,7 +9,7 @@
 #include "pearbarrow/fleet/node_parts.h"
 #include "pearbarrow/forward/forward_service.h"
 #include "pearbarrow/forward/load_reporter.h"
-#include "pearbarrow/places/place_rules.h"
+#include "pearbarrow/places/zone_rules.h"
 #include "pearbarrow/slowstart/cold_table.h"
 #include "pearbarrow/slowstart/start_quota.h"
 #include "pearbarrow/turns/call_relay.h"
@@ -47,7 +47,7 @@
     node_parts parts_;
     forward::forward_log log_;
     std::unique_ptr<net::http_client> client_;
-    places::place_rules places_;
+    places::zone_rules zone_rules_;
     slowstart::cold_table cold_;
     bool is_connected_ = false;
     std::unique_ptr<net::timer_handle> gap_poll_timer_;
@@ -55,7 +55,7 @@
     bool regions_restricted_ = false;
     forward::backend_pool pool_;
     forward::load_reporter load_;
-    std::unique_ptr<forward::program_gate> admission_;
+    std::unique_ptr<forward::program_admission> admission_;
     turns::call_relay relay_;
     turns::relaying_caller members_;
     turns::turn_client turns_;
--- a/src/pearbarrow/fleet/node_gauges.cc
+++ b/src/pearbarrow/fleet/node_gauges.cc
@@ -89,15 +89,15 @@
             .add_gauge("pearbarrow_peer_call_bytes_sent_total",
                        "Bytes sent to other nodes since the start, by what for and how far",
                        {{"call", std::string(name_of_call(row.method))},
-                        {"part", row.is_answer ? "answer" : "request"},
-                        {"distance", std::string(name_of(row.distance))}})
+                        {"part", row.is_reply ? "answer" : "request"},
+                        {"distance", std::string(distance_name(row.distance))}})
             .set(static_cast<double>(row.bytes));
     }
 }
 
-void node_gauges::collect_buffered_bytes(const net::held_bytes& buffered) {
-    for (const net::holding kind : {net::holding::answers, net::holding::requests,
-                                    net::holding::frames, net::holding::bodies}) {
+void node_gauges::collect_buffered_bytes(const net::buffered_bytes& buffered) {
+    for (const net::buffer_kind kind : {net::buffer_kind::responses, net::buffer_kind::requests,
+                                        net::buffer_kind::frames, net::buffer_kind::bodies}) {
         this->registry
             .add_gauge("pearbarrow_held_bytes", "Bytes held for others, by what they are",
                        {{"kind", std::string(net::to_string(kind))}})
@@ -114,7 +114,7 @@
 
 void node_gauges::collect_traffic(const forward::backend_traffic& traffic) {
     for (const forward::backend_traffic::row& row : traffic.rows()) {
-        const std::string distance(name_of(row.distance));
+        const std::string distance(distance_name(row.distance));
         this->registry
             .add_gauge("pearbarrow_backend_bytes_total",
                        "Bytes of bodies to and from back ends since the start, by how far they are",
--- a/src/pearbarrow/fleet/node_gauges.h
+++ b/src/pearbarrow/fleet/node_gauges.h
@@ -8,7 +8,7 @@
 #include "pearbarrow/base/metrics.h"
 #include "pearbarrow/directory/directory_exchange.h"
 #include "pearbarrow/forward/backend_traffic.h"
-#include "pearbarrow/net/held_bytes.h"
+#include "pearbarrow/net/buffered_bytes.h"
 #include "pearbarrow/net/peer_rpc.h"
 
 namespace pearbarrow::fleet {
@@ -30,7 +30,7 @@
     void collect_directory(const directory::directory_exchange& exchange);
     void collect_traffic(const net::peer_rpc& rpc);
     /// Collects the buffered bytes, and the connections that were closed to limit them.
-    void collect_buffered_bytes(const net::held_bytes& buffered);
+    void collect_buffered_bytes(const net::buffered_bytes& buffered);
     /// Collects the bytes to and from back ends, by distance.
     void collect_traffic(const forward::backend_traffic& traffic);
 
--- a/src/pearbarrow/fleet/node_parts.cc
+++ b/src/pearbarrow/fleet/node_parts.cc
@@ -14,15 +14,15 @@
 constexpr double buffered_memory_fraction = 1.0 / 3;
 constexpr std::size_t bytes_per_megabyte = std::size_t{1024} * 1024;
 
-net::held_bytes_options buffered_options(const settings::fleet_settings& settings) {
+net::buffered_bytes_options buffered_options(const settings::fleet_settings& settings) {
     const auto memory = static_cast<double>(settings.memory_mb * bytes_per_megabyte);
     return {.bound = static_cast<std::size_t>(memory * buffered_memory_fraction)};
 }
 
 net::peer_rpc_options link_options(const settings::fleet_settings& settings,
-                                   std::shared_ptr<net::held_bytes> held) {
+                                   std::shared_ptr<net::buffered_bytes> buffered) {
     net::peer_rpc_options options;
-    options.held = std::move(held);
+    options.buffered = std::move(buffered);
     options.self = settings.node;
     options.cluster = cluster_name;
     options.zone = settings.zone;
@@ -60,8 +60,8 @@
       settings_(settings),
       random_(base::random_source::system_seed()),
       gauges_(metrics_, clock),
-      held_(std::make_shared<net::held_bytes>(buffered_options(settings))),
-      rpc_(net::make_peer_rpc(loop, link_options(settings, held_))),
+      buffered_(std::make_shared<net::buffered_bytes>(buffered_options(settings))),
+      rpc_(net::make_peer_rpc(loop, link_options(settings, buffered_))),
       exchange_(std::make_unique<directory::directory_exchange>(
           loop, *rpc_, random_, exchange_options(settings),
           [this, on_change = std::move(on_change)](const auto& changed) {
@@ -74,7 +74,7 @@
     gauges_.add([this](auto&) {
         gauges_.collect_directory(*exchange_);
         gauges_.collect_traffic(*rpc_);
-        gauges_.collect_buffered_bytes(*held_);
+        gauges_.collect_buffered_bytes(*buffered_);
     });
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-void node_parts::take_settings(const settings::fleet_settings& next) {
+void node_parts::apply_settings(const settings::fleet_settings& next) {
     settings_.seeds = next.seeds;
     settings_.directory_service = next.directory_service;
     for (const settings::ip_endpoint& seed : next.seeds) {
--- a/src/pearbarrow/fleet/node_parts.h
+++ b/src/pearbarrow/fleet/node_parts.h
@@ -12,8 +12,8 @@
 #include "pearbarrow/directory/directory_exchange.h"
 #include "pearbarrow/fleet/node_gauges.h"
 #include "pearbarrow/fleet/work_log.h"
+#include "pearbarrow/net/buffered_bytes.h"
 #include "pearbarrow/net/event_loop.h"
-#include "pearbarrow/net/held_bytes.h"
 #include "pearbarrow/net/http.h"
 #include "pearbarrow/net/peer_rpc.h"
 #include "pearbarrow/settings/fleet_settings.h"
@@ -35,7 +35,7 @@
     /// Opens the links and the metrics listener. Peer methods must be registered before.
     absl::Status start();
     /// Applies the settings that may change at run time.
-    void take_settings(const settings::fleet_settings& next);
+    void apply_settings(const settings::fleet_settings& next);
 
     net::event_loop& loop() { return loop_; }
     const base::clock& clock() const { return clock_; }
@@ -44,7 +44,7 @@
     node_gauges& gauges() { return gauges_; }
     net::peer_rpc& rpc() { return *rpc_; }
     /// Returns the account of the bytes that the node buffers for callers, back ends and peers.
-    const std::shared_ptr<net::held_bytes>& held() const { return held_; }
+    const std::shared_ptr<net::buffered_bytes>& buffered() const { return buffered_; }
     directory::directory_exchange& directory() { return *exchange_; }
     const settings::fleet_settings& settings() const { return settings_; }
 
@@ -57,7 +57,7 @@
     base::random_source random_;
     base::metrics_registry metrics_;
     node_gauges gauges_;
-    std::shared_ptr<net::held_bytes> held_;
+    std::shared_ptr<net::buffered_bytes> buffered_;
     std::unique_ptr<net::peer_rpc> rpc_;
     std::unique_ptr<directory::directory_exchange> exchange_;
     std::unique_ptr<net::http_server> metrics_server_;
--- a/src/pearbarrow/fleet/storage_node.cc
+++ b/src/pearbarrow/fleet/storage_node.cc
@@ -20,8 +20,8 @@
 
 tenants::quota_options quota_options(const settings::fleet_settings& settings) {
     tenants::quota_options options{.self = settings.node};
-    options.extra = extra_fraction * static_cast<double>(settings.quota_slack) /
-                    static_cast<double>(tenants::quota_shares);
+    options.extra_tokens = extra_fraction * static_cast<double>(settings.quota_slack) /
+                           static_cast<double>(tenants::quota_shares);
     options.window = settings.quota_window;
     return options;
 }
@@ -99,11 +99,11 @@
                      .zone = parts_.settings().zone},
             .groups = {.tolerated_losses = parts_.settings().tolerated_losses,
                        .tolerated_zones = parts_.settings().tolerated_zones}});
-    load_reports_ = std::make_unique<turns::board_exchange>(
-        parts_.loop(), parts_.rpc(), parts_.clock(), replica_->board(),
-        turns::board_exchange_options{.self = parts_.settings().node,
-                                      .zone = parts_.settings().zone,
-                                      .life = parts_.random().next() | 1U});
+    load_reports_ = std::make_unique<turns::load_report_exchange>(
+        parts_.loop(), parts_.rpc(), parts_.clock(), replica_->load_table(),
+        turns::load_report_exchange_options{.self = parts_.settings().node,
+                                            .zone = parts_.settings().zone,
+                                            .incarnation = parts_.random().next() | 1U});
     quotas_ = std::make_unique<tenants::quota_service>(parts_.rpc(), parts_.clock(),
                                                        quota_options(parts_.settings()));
     permits_ = std::make_unique<tenants::quota_service>(
@@ -166,7 +166,7 @@
     set("pearbarrow_start_permits_granted_total", "Permits granted", permits.granted());
     set("pearbarrow_start_permits_refused_total", "Permits refused", permits.refused());
     set("pearbarrow_turn_replica_behind", "Other members of whose changes some are not stored here",
-        replica_->behind_count());
+        replica_->lagging_members());
 }
 
 void storage_node::restore_directory() {
@@ -206,7 +206,7 @@
         const directory::configuration& config = *parts_.directory().state().current().config;
         quotas_->ledger().set_configuration(config, responsible_since);
         if (const auto idle_time = max_program_idle_time(config); idle_time.has_value()) {
-            replica_->keep_reservations_for(*idle_time);
+            replica_->set_reservation_retention(*idle_time);
         }
     }
     apply_start_limits(changed, now);
@@ -248,7 +248,7 @@
     if (changed.backends) {
         start_limits_.apply(changed.step, now);
     }
-    if (changed.config || (changed.backends && start_limits_.is_needed())) {
+    if (changed.config || (changed.backends && start_limits_.has_cold_rates())) {
         permits_->ledger().set_configuration(start_limits_.limits(), now);
     }
 }
--- a/src/pearbarrow/fleet/storage_node.h
+++ b/src/pearbarrow/fleet/storage_node.h
@@ -10,7 +10,7 @@
 #include "pearbarrow/fleet/node_parts.h"
 #include "pearbarrow/slowstart/start_limits.h"
 #include "pearbarrow/tenants/quota_service.h"
-#include "pearbarrow/turns/board_exchange.h"
+#include "pearbarrow/turns/load_report_exchange.h"
 #include "pearbarrow/turns/loss_check.h"
 #include "pearbarrow/turns/storage_membership.h"
 #include "pearbarrow/turns/turn_replica.h"
@@ -52,7 +52,7 @@
     bool restoring_ = false;
     std::unique_ptr<turns::turn_replica> replica_;
     std::unique_ptr<turns::storage_membership> membership_;
-    std::unique_ptr<turns::board_exchange> load_reports_;
+    std::unique_ptr<turns::load_report_exchange> load_reports_;
     std::unique_ptr<tenants::quota_service> quotas_;
     slowstart::start_limits start_limits_;
     /// Grants permits for back ends that have just started.
--- a/src/pearbarrow/fleet/traffic_names.cc
+++ b/src/pearbarrow/fleet/traffic_names.cc
@@ -31,7 +31,7 @@
     };
 }
 
-std::string_view name_of(net::peer_distance distance) {
+std::string_view distance_name(net::peer_distance distance) {
     switch (distance) {
         case net::peer_distance::unknown:
             return "unknown";
@@ -50,7 +50,7 @@
         {0, "link"},
         {wire::directory_watch, "directory_watch"},
         {wire::directory_parts, "directory_parts"},
-        {wire::directory_look, "directory_look"},
+        {wire::directory_poll, "directory_look"},
         {wire::turn_reserve, "turn_reserve"},
         {wire::turn_read, "turn_read"},
         {wire::turn_finish, "turn_finish"},
--- a/src/pearbarrow/fleet/traffic_names.h
+++ b/src/pearbarrow/fleet/traffic_names.h
@@ -14,7 +14,7 @@
 std::function<net::peer_distance(std::string_view zone)> distances_from(
     const settings::fleet_settings& settings);
 
-std::string_view name_of(net::peer_distance distance);
+std::string_view distance_name(net::peer_distance distance);
 std::string_view name_of_call(wire::method_number method);
 
 }  // namespace pearbarrow::fleet
--- a/src/pearbarrow/fleet/work_log.cc
+++ b/src/pearbarrow/fleet/work_log.cc
@@ -28,7 +28,7 @@
     for (const net::traffic_row& row : this->rpc.traffic()) {
         const std::string call =
             fmt::format("{{call={},part={},distance={}}}", name_of_call(row.method),
-                        row.is_answer ? "answer" : "request", name_of(row.distance));
+                        row.is_reply ? "answer" : "request", distance_name(row.distance));
         counts["pearbarrow_peer_call_bytes_sent_total" + call] = static_cast<double>(row.bytes);
         counts["pearbarrow_peer_call_frames_sent_total" + call] = static_cast<double>(row.frames);
     }
--- a/src/pearbarrow/fleet/place_gauges.cc
+++ b/src/pearbarrow/fleet/zone_gauges.cc
@@ -1,22 +1,22 @@
-#include "pearbarrow/fleet/place_gauges.h"
+#include "pearbarrow/fleet/zone_gauges.h"
 
 #include "pearbarrow/base/log.h"
-#include "pearbarrow/places/storage_places.h"
+#include "pearbarrow/places/storage_zones.h"
 #include "pearbarrow/turns/replica_groups.h"
 
 namespace pearbarrow::fleet {
 
-void collect_zone_rules(base::metrics_registry& registry, const places::place_rules& rules,
+void collect_zone_rules(base::metrics_registry& registry, const places::zone_rules& rules,
                         const forward::backend_pool& pool) {
     registry
         .add_gauge("pearbarrow_places_known", "1 once the node has heard which zones are emptied")
-        .set(rules.knows_emptied() ? 1 : 0);
+        .set(rules.is_emptied_list_known() ? 1 : 0);
     registry.add_gauge("pearbarrow_places_zones_emptied", "Zones whose back ends take nothing new")
-        .set(static_cast<double>(rules.all_emptied().size()));
+        .set(static_cast<double>(rules.emptied_zones_by_name().size()));
     registry
         .add_gauge("pearbarrow_places_requests_in_emptied_zones",
                    "This node's requests that still run in these zones")
-        .set(pool.requests_in_emptied());
+        .set(pool.requests_in_emptied_zones());
 }
 
 void log_emptied_zones(const directory::emptied_zone_list& list) {
@@ -28,7 +28,7 @@
               {{"revision", list.revision}, {"since_by_zone", zones}});
 }
 
-void log_unpermitted_storage(const places::place_rules& rules,
+void log_unpermitted_storage(const places::zone_rules& rules,
                              const directory::configuration& config,
                              const directory::storage_view& view) {
     for (const directory::route& route : config.routes) {
@@ -38,10 +38,10 @@
         std::uint32_t unpermitted = 0;
         for (std::uint32_t group = 0; group < view.groups; ++group) {
             const directory::storage_view members = turns::members_of(view, group);
-            const auto verdict = places::judge_storage(
+            const auto verdict = places::check_storage(
                 rules, {.route_regions = route.permitted_regions, .tenant_regions = {}},
                 members.members);
-            unpermitted += verdict == places::place_verdict::permitted ? 0 : 1;
+            unpermitted += verdict == places::zone_verdict::permitted ? 0 : 1;
         }
         if (unpermitted > 0) {
             base::log(
--- a/src/pearbarrow/forward/backend_pool.cc
+++ b/src/pearbarrow/forward/backend_pool.cc
@@ -110,7 +110,7 @@
         service_of(entry.backend.service).remove(entry);
         by_key_.erase(entry.key);
     }
-    if (!(entry.backend.run() == backend.run())) {
+    if (!(entry.backend.incarnation() == backend.incarnation())) {
         // The process is new or has restarted. It has none of the earlier requests, and backoff and
         // slowness of the previous incarnation do not apply to it. Attempts that are still in
         // flight belong to the previous incarnation and are not counted.
@@ -195,7 +195,7 @@
 }
 
 bool backend_pool::is_cold(const pool_entry& entry, base::instant now) const {
-    return cold_ != nullptr && cold_->is_needed() && cold_->is_cold(entry.backend.id, now);
+    return cold_ != nullptr && cold_->has_cold_rates() && cold_->is_cold(entry.backend.id, now);
 }
 
 bool backend_pool::is_failing(const candidate_entry& item, base::instant now) const {
@@ -231,10 +231,10 @@
     return std::max<base::microseconds>(options_.min_silence, by_mean);
 }
 
-bool backend_pool::is_long_silence(const directory::backend_run& run,
+bool backend_pool::is_long_silence(const directory::backend_incarnation& incarnation,
                                    base::microseconds silence) const {
-    const auto found = entries_.find(run.id);
-    return found != entries_.end() && found->second.backend.run() == run &&
+    const auto found = entries_.find(incarnation.id);
+    return found != entries_.end() && found->second.backend.incarnation() == incarnation &&
            silence > max_silence(found->second);
 }
 
@@ -315,7 +315,7 @@
                              .requests = entry.in_flight,
                              .served = failed > 0 ? served : 0,
                              .failed = failed,
-                             .pace_us = static_cast<std::uint32_t>(
+                             .event_interval_us = static_cast<std::uint32_t>(
                                  entry.mean_gap > 0 ? entry.mean_gap : entry.mean_time),
                              .unread_tokens = static_cast<std::uint32_t>(entry.unread_tokens)});
         }
@@ -326,20 +326,24 @@
 }
 
 /// Results of an attempt at an earlier incarnation are ignored.
-backend_pool::entry_map::iterator backend_pool::find(const directory::backend_run& run) {
-    const auto found = entries_.find(run.id);
-    const bool is_present = found != entries_.end() && found->second.backend.run() == run;
+backend_pool::entry_map::iterator backend_pool::find(
+    const directory::backend_incarnation& incarnation) {
+    const auto found = entries_.find(incarnation.id);
+    const bool is_present =
+        found != entries_.end() && found->second.backend.incarnation() == incarnation;
     return is_present ? found : entries_.end();
 }
 
 void backend_pool::withdraw(choice& chosen, base::instant started_at, base::instant now) {
-    on_response_head(chosen.target.run(), started_at);
+    on_response_head(chosen.target.incarnation(), started_at);
     on_prompt_dropped(chosen);
-    on_attempt_ended(chosen.target.run(), attempt_result::abandoned, base::microseconds{0}, now);
+    on_attempt_ended(chosen.target.incarnation(), attempt_result::abandoned, base::microseconds{0},
+                     now);
 }
 
-void backend_pool::on_response_head(const directory::backend_run& run, base::instant started_at) {
-    const auto found = find(run);
+void backend_pool::on_response_head(const directory::backend_incarnation& incarnation,
+                                    base::instant started_at) {
+    const auto found = find(incarnation);
     if (found == entries_.end()) {
         return;
     }
@@ -349,9 +353,9 @@
     }
 }
 
-void backend_pool::record_service_time(const directory::backend_run& run,
+void backend_pool::record_service_time(const directory::backend_incarnation& incarnation,
                                        base::microseconds service_time) {
-    const auto found = find(run);
+    const auto found = find(incarnation);
     if (found == entries_.end()) {
         return;
     }
@@ -361,18 +365,19 @@
     mean += newest_weight * (seconds - mean);
 }
 
-void backend_pool::on_attempt_ended(const directory::backend_run& run, attempt_result result,
-                                    base::microseconds took, base::instant now) {
-    const auto found = find(run);
+void backend_pool::on_attempt_ended(const directory::backend_incarnation& incarnation,
+                                    attempt_result result, base::microseconds took,
+                                    base::instant now) {
+    const auto found = find(incarnation);
     if (found == entries_.end()) {
         return;
     }
     pool_entry& entry = found->second;
     --entry.in_flight;
     if (cold_ != nullptr && result == attempt_result::unreachable) {
-        cold_->note_unreachable(run.id);
+        cold_->on_unreachable(incarnation.id);
     } else if (cold_ != nullptr && shows_liveness(result)) {
-        cold_->note_reached(run.id, now);
+        cold_->on_response(incarnation.id, now);
     }
     if (result == attempt_result::served) {
         entry.last_connected = now;
@@ -422,10 +427,11 @@
     return std::min<base::milliseconds>(doubled, options_.max_backoff);
 }
 
-base::microseconds backend_pool::patience(const directory::backend_run& run,
+base::microseconds backend_pool::patience(const directory::backend_incarnation& incarnation,
                                           base::microseconds objective) const {
-    const auto found = entries_.find(run.id);
-    const bool is_known = found != entries_.end() && found->second.backend.run() == run;
+    const auto found = entries_.find(incarnation.id);
+    const bool is_known =
+        found != entries_.end() && found->second.backend.incarnation() == incarnation;
     const double mean_time = is_known ? found->second.mean_time : 0;
     const double least = options_.objective_factor * static_cast<double>(objective.count());
     return base::microseconds(
--- a/src/pearbarrow/forward/backend_pool.h
+++ b/src/pearbarrow/forward/backend_pool.h
@@ -26,12 +26,12 @@
 #include "pearbarrow/dispatch/shared_load.h"
 #include "pearbarrow/forward/choice_policy.h"
 #include "pearbarrow/forward/pool_entry.h"
-#include "pearbarrow/forward/program_gate.h"
-#include "pearbarrow/forward/reading_pace.h"
+#include "pearbarrow/forward/prefill_rate_estimate.h"
+#include "pearbarrow/forward/program_admission.h"
 #include "pearbarrow/forward/request_rate.h"
+#include "pearbarrow/forward/round_trip_estimates.h"
 #include "pearbarrow/forward/service_backends.h"
-#include "pearbarrow/forward/way_times.h"
-#include "pearbarrow/places/place_rules.h"
+#include "pearbarrow/places/zone_rules.h"
 #include "pearbarrow/slowstart/cold_table.h"
 
 namespace pearbarrow::forward {
@@ -155,7 +155,7 @@
     /// after the request broke there is the least likely to serve it in time.
     std::set<std::string> excluded;
     /// Zones and regions to which the request may go.
-    places::place_request place;
+    places::region_limits place;
     /// Cold back ends that rejected a permit for this request. If not empty, a cold back end is
     /// selected only if no other is eligible.
     std::set<std::string> without_permit;
@@ -200,7 +200,7 @@
     void set_shared_load(const dispatch::shared_load& load) { remote_load_ = &load; }
 
     /// Sets the zone rules. They must outlive the pool. Without them, requests may go anywhere.
-    void set_places(const places::place_rules& rules) { places_ = &rules; }
+    void set_zone_rules(const places::zone_rules& rules) { zone_rules_ = &rules; }
     /// Sets the table of cold back ends. It must outlive the pool.
     void set_cold_table(slowstart::cold_table& table) { cold_ = &table; }
 
@@ -215,38 +215,42 @@
     /// Undoes a selection made at `started_at` for which nothing was sent.
     void withdraw(choice& chosen, base::instant started_at, base::instant now);
     /// Records the response head of an attempt that started at `started_at`.
-    void on_response_head(const directory::backend_run& run, base::instant started_at);
+    void on_response_head(const directory::backend_incarnation& incarnation,
+                          base::instant started_at);
     /// Returns whether an attempt that has waited this long for the response head causes the
     /// exclusion of the back end.
-    bool is_long_silence(const directory::backend_run& run, base::microseconds silence) const;
+    bool is_long_silence(const directory::backend_incarnation& incarnation,
+                         base::microseconds silence) const;
     /// Records the end of an attempt. Call `on_response_head` first. `took` is used only if a
     /// response was received.
-    void on_attempt_ended(const directory::backend_run& run, attempt_result result,
+    void on_attempt_ended(const directory::backend_incarnation& incarnation, attempt_result result,
                           base::microseconds took, base::instant now);
     /// Records the time from sending a request to the end of its response.
-    void record_service_time(const directory::backend_run& run, base::microseconds service_time);
+    void record_service_time(const directory::backend_incarnation& incarnation,
+                             base::microseconds service_time);
     /// Records a stream event that was received `gap` after the previous one.
-    void record_event(const directory::backend_run& run, base::microseconds gap, base::instant now);
+    void record_event(const directory::backend_incarnation& incarnation, base::microseconds gap,
+                      base::instant now);
     /// Records the first event of a response, which shows that the back end has read the prompt.
     void on_prompt_read(choice& chosen, base::microseconds took, base::instant now);
     /// Records that no first event will be received.
     void on_prompt_dropped(choice& chosen);
     /// Records a new connection to the back end.
-    void record_connection(const directory::backend_run& run, base::microseconds took,
-                           base::instant now);
+    void record_connection(const directory::backend_incarnation& incarnation,
+                           base::microseconds took, base::instant now);
     /// Returns how long an attempt may wait for the response head before a retry at another back
     /// end is worthwhile. Applies to requests that may be executed again.
-    base::microseconds patience(const directory::backend_run& run,
+    base::microseconds patience(const directory::backend_incarnation& incarnation,
                                 base::microseconds objective) const;
     /// Returns the aggregate load of the back ends of the service that accept requests.
     service_load load_of(std::string_view service, base::instant now) const;
     std::size_t backend_count(std::string_view service) const;
     /// Returns why the zone rules exclude the back ends of the service. Returns `permitted` if at
     /// least one is permitted or there is none.
-    places::place_verdict placement_verdict_of(std::string_view service,
-                                               const places::place_request& request) const;
+    places::zone_verdict placement_verdict_of(std::string_view service,
+                                              const places::region_limits& request) const;
     /// Returns the number of in-flight requests of this node in emptied zones.
-    std::uint32_t requests_in_emptied() const;
+    std::uint32_t requests_in_emptied_zones() const;
     /// Returns the in-flight requests and recent failures of this node for each back end that has
     /// any.
     std::vector<dispatch::backend_load> own_loads(base::instant now) const;
@@ -282,7 +286,7 @@
 
     /// Returns the entry of this incarnation of a back end, or end if the entry is missing or
     /// belongs to another incarnation.
-    entry_map::iterator find(const directory::backend_run& run);
+    entry_map::iterator find(const directory::backend_incarnation& incarnation);
     base::microseconds max_silence(const pool_entry& entry) const;
     /// Records a result for this node and for its reports to other nodes.
     void record_result(pool_entry& entry, attempt_result result, base::instant now) const;
@@ -310,8 +314,8 @@
     bool is_connected(const pool_entry& entry, base::instant now) const;
     void visit_in_own_order(const service_backends& service, std::size_t preferred,
                             candidate_collector& collector) const;
-    places::place_verdict zone_verdict(std::string_view zone,
-                                       const places::place_request& request) const;
+    places::zone_verdict zone_verdict(std::string_view zone,
+                                      const places::region_limits& request) const;
     bool is_in_emptied_zone(std::string_view zone) const;
     bool is_cold(const pool_entry& entry, base::instant now) const;
     /// Marks the preferred set of this node: back ends of its own zone first, in an order that
@@ -327,7 +331,7 @@
     bool is_failing(const candidate_entry& item, base::instant now) const;
 
     std::vector<choice_candidate> with_load(const candidate_entries& fit, base::instant now) const;
-    // Selection by cost, prompt_work.cc.
+    // Selection by cost, cost_inputs.cc.
     void add_work(std::vector<choice_candidate>& loaded, const candidate_entries& fit,
                   const choice_request& request, base::instant now) const;
     /// Returns the recent mean time of one event in microseconds, or 0 if unknown. The fewer
@@ -360,7 +364,7 @@
     base::random_source& random_;
     std::unique_ptr<choice_policy> policy_;
     const dispatch::shared_load* remote_load_ = nullptr;
-    const places::place_rules* places_ = nullptr;
+    const places::zone_rules* zone_rules_ = nullptr;
     slowstart::cold_table* cold_ = nullptr;
     entry_map entries_;
     std::unordered_map<dispatch::backend_key, pool_entry*> by_key_;
--- a/src/pearbarrow/forward/prompt_work.cc
+++ b/src/pearbarrow/forward/cost_inputs.cc
@@ -27,11 +27,11 @@
     const bool is_recent = entry.mean_gap > 0 && now - entry.last_event < options_.pace_lifetime;
     const dispatch::backend_load& others = item.others;
     const double own = is_recent ? entry.mean_gap : 0;
-    if (own == 0 || others.pace_us == 0) {
-        return std::max<double>(own, others.pace_us);
+    if (own == 0 || others.event_interval_us == 0) {
+        return std::max<double>(own, others.event_interval_us);
     }
     const double own_weight = entry.in_flight + 1;
-    return (own * own_weight + static_cast<double>(others.pace_us) * others.requests) /
+    return (own * own_weight + static_cast<double>(others.event_interval_us) * others.requests) /
            (own_weight + others.requests);
 }
 
@@ -81,7 +81,7 @@
     if (!std::exchange(chosen.prompt.is_open, false)) {
         return;
     }
-    if (const auto found = find(chosen.target.run()); found != entries_.end()) {
+    if (const auto found = find(chosen.target.incarnation()); found != entries_.end()) {
         double& unread = found->second.unread_tokens;
         unread = std::max(0.0, unread - chosen.prompt.own_tokens);
     }
@@ -104,9 +104,9 @@
     }
 }
 
-void backend_pool::record_event(const directory::backend_run& run, base::microseconds gap,
-                                base::instant now) {
-    const auto found = find(run);
+void backend_pool::record_event(const directory::backend_incarnation& incarnation,
+                                base::microseconds gap, base::instant now) {
+    const auto found = find(incarnation);
     if (found == entries_.end()) {
         return;
     }
@@ -121,9 +121,9 @@
     }
 }
 
-void backend_pool::record_connection(const directory::backend_run& run, base::microseconds took,
-                                     base::instant now) {
-    if (const auto found = find(run); found != entries_.end()) {
+void backend_pool::record_connection(const directory::backend_incarnation& incarnation,
+                                     base::microseconds took, base::instant now) {
+    if (const auto found = find(incarnation); found != entries_.end()) {
         round_trips_.add(found->second.backend.zone, took, now);
         found->second.last_connected = now;
     }
--- a/src/pearbarrow/forward/forward_context.h
+++ b/src/pearbarrow/forward/forward_context.h
@@ -12,10 +12,10 @@
 #include "pearbarrow/forward/backend_traffic.h"
 #include "pearbarrow/forward/forward_log.h"
 #include "pearbarrow/forward/header_names.h"
-#include "pearbarrow/forward/program_gate.h"
+#include "pearbarrow/forward/program_admission.h"
 #include "pearbarrow/net/event_loop.h"
 #include "pearbarrow/net/http.h"
-#include "pearbarrow/places/place_rules.h"
+#include "pearbarrow/places/zone_rules.h"
 #include "pearbarrow/slowstart/start_permit.h"
 #include "pearbarrow/tenants/quota_client.h"
 #include "pearbarrow/tenants/tenant_table.h"
@@ -43,7 +43,7 @@
     /// extend their windows by this value and by a margin for the connection (`start_quota.h`).
     base::milliseconds permit_lifetime{150};
     /// Whether requests to engines carry a priority (`engine_priority.h`).
-    bool tells_priority = false;
+    bool sends_priority = false;
 };
 
 struct forward_context {
@@ -54,20 +54,20 @@
     backend_pool& pool;
     turns::turn_client& turns;
     tenants::quota_client& quotas;
-    program_gate& gate;
+    program_admission& admission;
     forward_log& log;
     forward_options options;
     /// Null while no configuration is known.
     std::shared_ptr<const active_configuration> active;
     /// Returns whether this node would be notified of a newer configuration. If empty, always true.
-    std::function<bool()> hears_of_changes;
+    std::function<bool()> receives_updates;
     /// Zone rules. If null, requests may go anywhere.
-    const places::place_rules* places = nullptr;
+    const places::zone_rules* zone_rules = nullptr;
     /// Source of permits for cold back ends. If null, requests are sent without permits.
     slowstart::permit_source* permits = nullptr;
     backend_traffic traffic = backend_traffic();
     /// Accounting of buffered bytes. If null, buffers are unbounded.
-    std::shared_ptr<net::held_bytes> held = nullptr;
+    std::shared_ptr<net::buffered_bytes> buffered = nullptr;
 };
 
 }  // namespace pearbarrow::forward
--- a/src/pearbarrow/forward/forward_service.cc
+++ b/src/pearbarrow/forward/forward_service.cc
@@ -15,10 +15,10 @@
     active->config = config;
     active->routes = directory::route_table(config.routes);
     active->tenants = tenants::tenant_table(config);
-    for (const tenants::shared_key& one : active->tenants.shared_keys()) {
+    for (const tenants::duplicate_key& one : active->tenants.duplicate_keys()) {
         context_.log.notable(
             "key_at_two_tenants",
-            {{"config", config.version}, {"holder", one.holder}, {"ignored_at", one.other}});
+            {{"config", config.version}, {"holder", one.owner}, {"ignored_at", one.other}});
     }
     context_.active = std::move(active);
     context_.log.notable("configuration_in_force", {{"config", config.version},
@@ -38,7 +38,7 @@
         reject(*exchange, 503, "no_configuration", facts->request_id);
         return;
     }
-    if (context_.places != nullptr && !context_.places->knows_emptied()) {
+    if (context_.zone_rules != nullptr && !context_.zone_rules->is_emptied_list_known()) {
         reject(*exchange, 503, "emptied_zones_unknown", facts->request_id);
         return;
     }
@@ -75,7 +75,7 @@
         return true;
     }
     // A node without configuration updates does not know a key that has just been added.
-    const bool is_certain = !context_.hears_of_changes || context_.hears_of_changes();
+    const bool is_certain = !context_.receives_updates || context_.receives_updates();
     if (is_certain) {
         reject(exchange, 401, tenants::to_string(caller.verdict), facts.request_id);
     } else {
--- a/src/pearbarrow/forward/forwarded_attempt.cc
+++ b/src/pearbarrow/forward/forwarded_attempt.cc
@@ -123,7 +123,7 @@
          .on_connected =
              [this](base::microseconds took) {
                  context_.log.count_connection(target_.service);
-                 context_.pool.record_connection(target_.run(), took, context_.clock.now());
+                 context_.pool.record_connection(target_.incarnation(), took, context_.clock.now());
              }});
     start_silence_timer();
 }
@@ -140,7 +140,7 @@
                         .idle_timeout = base::milliseconds{0}};
     // During a network partition a process can end without closing its connections. A request on
     // such a connection would be lost, and may have been executed.
-    call.server_run = target.started_at;
+    call.server_incarnation = target.started_at;
     call.connect_timeout = context_.options.connect_timeout;
     call.resend_when_stale = is_repeatable();
     call.may_send = [this] { return may_go_to_target() && holds_permit(); };
@@ -154,7 +154,7 @@
     if (!facts_.tenant.empty()) {
         call.headers.add(names.tenant, facts_.tenant);
     }
-    if (facts_.turn.has_value() && context_.options.tells_priority) {
+    if (facts_.turn.has_value() && context_.options.sends_priority) {
         call.headers.add(names.engine_priority, std::to_string(priority_at_engine()));
     }
     return call;
@@ -165,7 +165,7 @@
         return;
     }
     const auto patience =
-        context_.pool.patience(target_.run(), base::milliseconds{route_.objective_ms});
+        context_.pool.patience(target_.incarnation(), base::milliseconds{route_.objective_ms});
     silence_timer_ = context_.loop.after(patience, [this] { on_silence(); });
 }
 
@@ -189,7 +189,7 @@
     head_received_ = true;
     head_at_ = context_.clock.now();
     steps_.to_head = head_at_ - attempt_started_at_;
-    context_.pool.on_response_head(target_.run(), attempt_started_at_);
+    context_.pool.on_response_head(target_.incarnation(), attempt_started_at_);
     const auto echoed = headers.find(names.request_id);
     // This is a late response to an earlier request on the same connection.
     is_foreign_ = echoed.has_value() && *echoed != facts_.request_id;
@@ -235,23 +235,23 @@
     }
     const base::instant now = context_.clock.now();
     if (!head_received_) {
-        context_.pool.on_response_head(target_.run(), attempt_started_at_);
+        context_.pool.on_response_head(target_.incarnation(), attempt_started_at_);
     }
     const auto took = is_stream() && event_count_ > 0 ? first_event_ - attempt_started_at_
                                                       : now - attempt_started_at_;
     if (result == attempt_result::served) {
-        context_.pool.record_service_time(target_.run(), now - attempt_started_at_);
+        context_.pool.record_service_time(target_.incarnation(), now - attempt_started_at_);
     }
     if (placed_.has_value()) {
         context_.pool.on_prompt_dropped(*placed_);
     }
-    context_.pool.on_attempt_ended(target_.run(), result, took, now);
+    context_.pool.on_attempt_ended(target_.incarnation(), result, took, now);
     context_.log.count_attempt(to_string(result));
 }
 
 attempt_result forwarded_request::result_if_caller_leaves() const {
     const base::microseconds silence = context_.clock.now() - attempt_started_at_;
-    return !head_received_ && context_.pool.is_long_silence(target_.run(), silence)
+    return !head_received_ && context_.pool.is_long_silence(target_.incarnation(), silence)
                ? attempt_result::silent
                : attempt_result::abandoned;
 }
--- a/src/pearbarrow/forward/forwarded_permit.cc
+++ b/src/pearbarrow/forward/forwarded_permit.cc
@@ -30,7 +30,7 @@
 void forwarded_request::request_permit(const slowstart::cold_start& target) {
     holds_slot_ = true;
     permit_requested_at_ = context_.clock.now();
-    permit_step_ = context_.permits->ask(
+    permit_step_ = context_.permits->request_permit(
         target, [this](const slowstart::permit_decision& decision) { on_permit_reply(decision); });
 }
 
--- a/src/pearbarrow/forward/forwarded_program.cc
+++ b/src/pearbarrow/forward/forwarded_program.cc
@@ -23,7 +23,7 @@
     admission_checked_ = true;
     const base::instant now = context_.clock.now();
     const service_load load = context_.pool.load_of(route_.services.front().service, now);
-    const auto retry_after = context_.gate.judge(load, now);
+    const auto retry_after = context_.admission.check(load, now);
     if (!retry_after.has_value()) {
         return false;
     }
@@ -42,7 +42,7 @@
 
 void forwarded_request::record_turn(bool in_time) {
     if (facts_.turn.has_value() && route_.objective_ms > 0) {
-        context_.gate.record_turn(in_time, context_.clock.now());
+        context_.admission.record_turn(in_time, context_.clock.now());
     }
 }
 
--- a/src/pearbarrow/forward/forwarded_quota.cc
+++ b/src/pearbarrow/forward/forwarded_quota.cc
@@ -18,14 +18,14 @@
 }
 
 void forwarded_request::request_quota() {
-    tenants::quota_question request{.tenant = facts_.tenant};
+    tenants::grant_request request{.tenant = facts_.tenant};
     if (!facts_.program.empty()) {
         request.program = base::stable_hash(facts_.program) | 1U;
         // Every program starts with a turn, so any other request continues a program.
         request.continues = !facts_.turn.has_value() || !facts_.turn->previous_turn.empty();
     }
     quota_step_started_at_ = context_.clock.now();
-    quota_step_ = context_.quotas.ask(
+    quota_step_ = context_.quotas.request_grant(
         std::move(request),
         [this](const tenants::quota_decision& decision) { on_quota_reply(decision); });
 }
@@ -49,11 +49,11 @@
                                            {"tenant", facts_.tenant},
                                            {"reason", reason},
                                            {"member", decision.member},
-                                           {"left", decision.answer.left},
-                                           {"share_per_100_s", decision.answer.rate_hundredths},
-                                           {"in_window", decision.answer.in_window},
-                                           {"programs_under_way", decision.answer.programs},
-                                           {"config", decision.answer.config},
+                                           {"left", decision.reply.left},
+                                           {"share_per_100_s", decision.reply.rate_hundredths},
+                                           {"in_window", decision.reply.in_window},
+                                           {"programs_under_way", decision.reply.programs},
+                                           {"config", decision.reply.config},
                                            {"retry_after_ms", decision.retry_after.count()}});
     if (may_have_run_) {
         respond_with_problem(502, reason, "an attempt failed, and no further one could be made",
--- a/src/pearbarrow/forward/forwarded_request.cc
+++ b/src/pearbarrow/forward/forwarded_request.cc
@@ -30,7 +30,7 @@
       facts_(std::move(facts)),
       on_finished_(std::move(on_finished)),
       arrived_(context.clock.now()),
-      buffered_bytes_(context.held, net::holding::answers),
+      buffered_bytes_(context.buffered, net::buffer_kind::responses),
       events_([this](const net::server_sent_event& event) {
           record_event();
           if (route_.keeps_history) {
@@ -130,7 +130,7 @@
     }
     stage_ = response_stage::done;
     const bool may_have_run = may_have_run_ || status == 502 || status == 504;
-    settle(may_have_run && facts_.turn.has_value() ? facts_.turn->most_tokens : 0);
+    settle(may_have_run && facts_.turn.has_value() ? facts_.turn->max_tokens : 0);
     const nlohmann::json body = {{"title", reason},
                                  {"status", status},
                                  {"reason", reason},
@@ -256,7 +256,7 @@
     } else {
         steps_.longest_gap = std::max<base::microseconds>(steps_.longest_gap, now - last_event_);
         if (!std::exchange(was_reading_paused_, false)) {
-            context_.pool.record_event(target_.run(), now - last_event_, now);
+            context_.pool.record_event(target_.incarnation(), now - last_event_, now);
         }
         steps_.generating = now - first_event_;
     }
--- a/src/pearbarrow/forward/forwarded_request.h
+++ b/src/pearbarrow/forward/forwarded_request.h
@@ -82,8 +82,8 @@
     std::uint64_t spent_tokens() const;
     turns::reservation reserved() const;
 
-    // Zone rules, forwarded_place.cc.
-    places::place_request placement_bounds() const;
+    // Zone rules, forwarded_zone_rules.cc.
+    places::region_limits placement_bounds() const;
     /// Returns whether the current zone rules permit the selected back end.
     bool may_go_to_target() const;
     /// Returns whether the zone rules exclude a member that would store the texts of the turn.
@@ -123,7 +123,7 @@
     void on_silence();
     bool may_retry(bool ran) const;
 
-    // Response bytes to the caller, forwarded_answer.cc.
+    // Response bytes to the caller, forwarded_response.cc.
     void on_chunk(std::string_view bytes);
     /// Buffers bytes of a response that is not forwarded yet.
     void buffer_response(std::string_view bytes);
@@ -216,7 +216,7 @@
     int status_ = 0;
     net::http_headers headers_;
     std::string body_;
-    net::held_part buffered_bytes_;
+    net::buffered_part buffered_bytes_;
     /// Whether reading from the back end is paused until the caller has read more.
     bool is_reading_paused_ = false;
     /// Whether reading was paused since the last event, so that the gap is not caused by the back
--- a/src/pearbarrow/forward/forwarded_answer.cc
+++ b/src/pearbarrow/forward/forwarded_response.cc
@@ -46,8 +46,8 @@
 /// A slot at a back end is expensive, so its response is read immediately. A slow caller occupies
 /// the slot only once its buffered bytes reach its share.
 void forwarded_request::pause_reading() {
-    if (is_reading_paused_ || context_.held == nullptr ||
-        exchange_->pending_bytes() <= context_.held->share()) {
+    if (is_reading_paused_ || context_.buffered == nullptr ||
+        exchange_->pending_bytes() <= context_.buffered->share()) {
         return;
     }
     is_reading_paused_ = true;
@@ -60,7 +60,7 @@
     // The threshold is half of the share, so that reading does not pause and resume every few
     // bytes.
     if (!is_reading_paused_ || call_ == nullptr ||
-        exchange_->pending_bytes() > context_.held->share() / 2) {
+        exchange_->pending_bytes() > context_.buffered->share() / 2) {
         return;
     }
     is_reading_paused_ = false;
--- a/src/pearbarrow/forward/forwarded_turn.cc
+++ b/src/pearbarrow/forward/forwarded_turn.cc
@@ -7,7 +7,7 @@
 turns::reservation forwarded_request::reserved() const {
     return {.program = base::program_id(scoped(facts_.turn->program)),
             .turn = turns::turn_id(scoped(facts_.request_id)),
-            .tokens = facts_.turn->most_tokens};
+            .tokens = facts_.turn->max_tokens};
 }
 
 void forwarded_request::prepare_turn() {
@@ -18,7 +18,7 @@
     turns::turn_request request{
         .wanted = reserved(), .budget = facts_.turn->token_budget, .previous = {}};
     if (facts_.program_left_ms.has_value()) {
-        request.aim = arrived_ + base::milliseconds{*facts_.program_left_ms};
+        request.deadline = arrived_ + base::milliseconds{*facts_.program_left_ms};
     }
     if (route_.keeps_history) {
         request.previous = turns::turn_id(scoped(facts_.turn->previous_turn));
@@ -31,19 +31,19 @@
 }
 
 void forwarded_request::on_turn_prepared(turns::prepared_turn prepared) {
-    steps_.waiting = prepared.waited;
-    steps_.preparing += context_.clock.now() - turn_step_started_at_ - prepared.waited;
+    steps_.waiting = prepared.queue_time;
+    steps_.preparing += context_.clock.now() - turn_step_started_at_ - prepared.queue_time;
     // A turn that no member has received need not be settled.
-    reserved_ = prepared.was_asked;
+    reserved_ = prepared.was_sent;
     context_.log.count_turn_step("prepare", turns::to_string(prepared.outcome), steps_.preparing);
     if (prepared.outcome != turns::turn_outcome::may_run) {
         reject_turn(prepared);
         return;
     }
     chain_text_ = std::move(prepared.chain_text);
-    copied_turns_ = std::move(prepared.copied);
+    copied_turns_ = std::move(prepared.copied_records);
     other_tokens_ = prepared.other_tokens;
-    previous_backend_ = prepared.earlier_backend;
+    previous_backend_ = prepared.previous_backend;
     prepared_ = true;
     advance();
 }
@@ -56,13 +56,13 @@
                                           {"tenant", facts_.tenant},
                                           {"reason", reason},
                                           {"budget", facts_.turn->token_budget},
-                                          {"most_tokens", facts_.turn->most_tokens},
+                                          {"most_tokens", facts_.turn->max_tokens},
                                           {"other_tokens", prepared.other_tokens},
                                           {"previous", facts_.turn->previous_turn},
                                           {"members_answered", prepared.members_answered},
                                           {"storage_view", prepared.view_revision},
                                           {"group", context_.turns.group_of(reserved().program)},
-                                          {"waited_ms", prepared.waited.count() / 1000},
+                                          {"waited_ms", prepared.queue_time.count() / 1000},
                                           {"waiting", line.waiting()},
                                           {"window", line.window()}});
     switch (prepared.outcome) {
@@ -93,7 +93,7 @@
         }
     }
     if (per_event == 0) {
-        return event_count_ == 0 ? 0 : facts_.turn->most_tokens;
+        return event_count_ == 0 ? 0 : facts_.turn->max_tokens;
     }
     return event_count_ * per_event;
 }
--- a/src/pearbarrow/forward/forwarded_place.cc
+++ b/src/pearbarrow/forward/forwarded_zone_rules.cc
@@ -4,30 +4,30 @@
 #include <spdlog/fmt/fmt.h>
 
 #include "pearbarrow/forward/forwarded_request.h"
-#include "pearbarrow/places/storage_places.h"
+#include "pearbarrow/places/storage_zones.h"
 
 namespace pearbarrow::forward {
 namespace {
 
-nlohmann::json describe(const places::place_rules::emptied_zones& zones, base::instant now) {
+nlohmann::json describe(const places::zone_rules::emptied_zones& zones, base::instant now) {
     nlohmann::json list = nlohmann::json::array();
     for (const auto& [zone, note] : zones) {
-        const auto known = std::chrono::duration<double>(now - note.heard_at).count();
+        const auto known = std::chrono::duration<double>(now - note.received_at).count();
         list.push_back(fmt::format("zone {} emptied at revision {}, known for {:.1f} s", zone,
                                    note.since, known));
     }
     return list;
 }
 
-std::string_view detail_of(places::place_verdict verdict) {
+std::string_view detail_of(places::zone_verdict verdict) {
     switch (verdict) {
-        case places::place_verdict::permitted:
+        case places::zone_verdict::permitted:
             return "no back end can take the request now";
-        case places::place_verdict::zone_emptied:
+        case places::zone_verdict::zone_emptied:
             return "the zones of the service's back ends are emptied";
-        case places::place_verdict::region_not_permitted:
+        case places::zone_verdict::region_not_permitted:
             return "no back end of the service is in a permitted region";
-        case places::place_verdict::region_unknown:
+        case places::zone_verdict::region_unknown:
             return "the regions of the service's back ends are not known";
     }
     return "unknown";
@@ -36,7 +36,7 @@
 }  // namespace
 
 /// Uses the newest configuration, because the request may have waited since its arrival.
-places::place_request forwarded_request::placement_bounds() const {
+places::region_limits forwarded_request::placement_bounds() const {
     const active_configuration& newest = *context_.active;
     const directory::route* route = &route_;
     if (context_.active != active_) {
@@ -44,7 +44,7 @@
             newest.routes.find(facts_.host, exchange_->request().path());
         route = found == nullptr ? route : found;
     }
-    places::place_request bounds{.route_regions = route->permitted_regions, .tenant_regions = {}};
+    places::region_limits bounds{.route_regions = route->permitted_regions, .tenant_regions = {}};
     if (!facts_.tenant.empty()) {
         if (const auto* tenant = newest.tenants.find_by_name(facts_.tenant); tenant != nullptr) {
             bounds.tenant_regions = tenant->permitted_regions;
@@ -54,39 +54,41 @@
 }
 
 bool forwarded_request::may_go_to_target() const {
-    return context_.places == nullptr || context_.places->judge(placement_bounds(), target_.zone) ==
-                                             places::place_verdict::permitted;
+    return context_.zone_rules == nullptr ||
+           context_.zone_rules->check(placement_bounds(), target_.zone) ==
+               places::zone_verdict::permitted;
 }
 
 /// Only stored texts are restricted, because a reservation contains just ids and token counts.
 bool forwarded_request::is_storage_closed() const {
-    const places::place_request bounds = placement_bounds();
-    if (context_.places == nullptr || !route_.keeps_history || bounds.permits_all()) {
+    const places::region_limits bounds = placement_bounds();
+    if (context_.zone_rules == nullptr || !route_.keeps_history || bounds.permits_all()) {
         return false;
     }
     const directory::storage_view members =
         context_.turns.views().of(context_.turns.group_of(reserved().program));
-    return places::judge_storage(*context_.places, bounds, members.members) !=
-           places::place_verdict::permitted;
+    return places::check_storage(*context_.zone_rules, bounds, members.members) !=
+           places::zone_verdict::permitted;
 }
 
 void forwarded_request::reject_storage() {
-    context_.log.notable("turn_refused", {{"request", facts_.request_id},
-                                          {"program", facts_.program},
-                                          {"tenant", facts_.tenant},
-                                          {"reason", "no_permitted_storage"},
-                                          {"config", context_.active->config.version},
-                                          {"storage_view", context_.turns.views().whole().revision},
-                                          {"group", context_.turns.group_of(reserved().program)}});
+    context_.log.notable("turn_refused",
+                         {{"request", facts_.request_id},
+                          {"program", facts_.program},
+                          {"tenant", facts_.tenant},
+                          {"reason", "no_permitted_storage"},
+                          {"config", context_.active->config.version},
+                          {"storage_view", context_.turns.views().directory_view().revision},
+                          {"group", context_.turns.group_of(reserved().program)}});
     respond_with_problem(503, "no_permitted_storage",
                          "a storage member of the program's group is outside the permitted regions",
                          spread(context_.options.retry_after));
 }
 
 void forwarded_request::reject_placement() {
-    const places::place_verdict verdict =
+    const places::zone_verdict verdict =
         context_.pool.placement_verdict_of(service_, placement_bounds());
-    if (verdict == places::place_verdict::permitted) {
+    if (verdict == places::zone_verdict::permitted) {
         respond_with_problem(503, "no_backend", detail_of(verdict), context_.options.retry_after);
         return;
     }
@@ -98,7 +100,8 @@
                              {"service", service_},
                              {"config", context_.active->config.version},
                              {"backends_revision", context_.pool.revision()}};
-    fields["emptied"] = describe(context_.places->all_emptied(), context_.clock.now());
+    fields["emptied"] =
+        describe(context_.zone_rules->emptied_zones_by_name(), context_.clock.now());
     context_.log.notable("place_refused", std::move(fields));
     respond_with_problem(503, reason, detail_of(verdict), spread(context_.options.retry_after));
 }
@@ -112,8 +115,8 @@
                              {"zone", target_.zone},
                              {"attempt", attempts_},
                              {"permit_held", holds_permit()}};
-    if (context_.places != nullptr) {
-        fields["emptied"] = describe(context_.places->all_emptied(), now);
+    if (context_.zone_rules != nullptr) {
+        fields["emptied"] = describe(context_.zone_rules->emptied_zones_by_name(), now);
     }
     context_.log.notable("attempt_withdrawn", std::move(fields));
 }
--- a/src/pearbarrow/forward/load_reporter.h
+++ b/src/pearbarrow/forward/load_reporter.h
@@ -14,7 +14,7 @@
 struct reporter_options {
     base::node_id node;
     /// Random number drawn at the start of the node, not 0.
-    std::uint64_t life = 1;
+    std::uint64_t incarnation = 1;
     /// If false, this node neither reports its load nor receives that of other nodes.
     bool share_load = true;
 };
@@ -24,14 +24,14 @@
     load_reporter(const base::clock& clock, backend_pool& pool, reporter_options options);
 
     dispatch::load_report report(bool wants_totals) override;
-    void take(const dispatch::load_totals& totals) override;
-    const dispatch::shared_load& elsewhere() const { return this->remote_load; }
+    void apply_totals(const dispatch::load_totals& totals) override;
+    const dispatch::shared_load& remote_load() const { return this->remote_totals; }
 
   private:
     const base::clock& clock;
     backend_pool& pool;
     reporter_options options;
-    dispatch::shared_load remote_load;
+    dispatch::shared_load remote_totals;
     std::uint64_t last_report = 0;
 };
 
--- a/src/pearbarrow/forward/pool_candidates.cc
+++ b/src/pearbarrow/forward/pool_candidates.cc
@@ -73,7 +73,7 @@
                this->request.excluded.count(entry.backend.id) == 0 &&
                this->request.without_permit.count(entry.backend.id) == 0 &&
                this->pool.zone_verdict(entry.backend.zone, this->request.place) ==
-                   places::place_verdict::permitted;
+                   places::zone_verdict::permitted;
     }
 
     const backend_pool& pool;
--- a/src/pearbarrow/forward/pool_places.cc
+++ b/src/pearbarrow/forward/pool_zone_rules.cc
@@ -3,20 +3,21 @@
 
 namespace pearbarrow::forward {
 
-places::place_verdict backend_pool::zone_verdict(std::string_view zone,
-                                                 const places::place_request& request) const {
-    return places_ == nullptr ? places::place_verdict::permitted : places_->judge(request, zone);
+places::zone_verdict backend_pool::zone_verdict(std::string_view zone,
+                                                const places::region_limits& request) const {
+    return zone_rules_ == nullptr ? places::zone_verdict::permitted
+                                  : zone_rules_->check(request, zone);
 }
 
 bool backend_pool::is_in_emptied_zone(std::string_view zone) const {
-    return places_ != nullptr && places_->is_emptied(zone);
+    return zone_rules_ != nullptr && zone_rules_->is_emptied(zone);
 }
 
 /// An emptied zone takes precedence over a region as the reason, because it is temporary and of
 /// interest to operators.
-places::place_verdict backend_pool::placement_verdict_of(
-    std::string_view service, const places::place_request& request) const {
-    places::place_verdict reason = places::place_verdict::permitted;
+places::zone_verdict backend_pool::placement_verdict_of(
+    std::string_view service, const places::region_limits& request) const {
+    places::zone_verdict reason = places::zone_verdict::permitted;
     const auto found = services_.find(service);
     if (found == services_.end()) {
         return reason;
@@ -25,19 +26,19 @@
         if (zone.usable == 0) {
             continue;
         }
-        const places::place_verdict verdict = zone_verdict(name, request);
-        if (verdict == places::place_verdict::permitted) {
+        const places::zone_verdict verdict = zone_verdict(name, request);
+        if (verdict == places::zone_verdict::permitted) {
             return verdict;
         }
-        if (reason == places::place_verdict::permitted ||
-            verdict == places::place_verdict::zone_emptied) {
+        if (reason == places::zone_verdict::permitted ||
+            verdict == places::zone_verdict::zone_emptied) {
             reason = verdict;
         }
     }
     return reason;
 }
 
-std::uint32_t backend_pool::requests_in_emptied() const {
+std::uint32_t backend_pool::requests_in_emptied_zones() const {
     std::uint32_t requests = 0;
     for (const pool_entry* entry : used_) {
         requests += is_in_emptied_zone(entry->backend.zone) ? entry->in_flight : 0;
--- a/src/pearbarrow/forward/program_gate.cc
+++ b/src/pearbarrow/forward/program_admission.cc
@@ -1,24 +1,24 @@
-#include "pearbarrow/forward/program_gate.h"
+#include "pearbarrow/forward/program_admission.h"
 
 #include <algorithm>
 
 namespace pearbarrow::forward {
 namespace {
 
-class open_admission final : public program_gate {
+class open_admission final : public program_admission {
   public:
-    std::optional<base::milliseconds> judge(const service_load& /*load*/,
+    std::optional<base::milliseconds> check(const service_load& /*load*/,
                                             base::instant /*now*/) override {
         return std::nullopt;
     }
 };
 
-class fullness_admission : public program_gate {
+class fullness_admission : public program_admission {
   public:
     fullness_admission(admission_options options, base::random_source& random)
         : options(options), random(random) {}
 
-    std::optional<base::milliseconds> judge(const service_load& load, base::instant now) override {
+    std::optional<base::milliseconds> check(const service_load& load, base::instant now) override {
         const bool may_begin =
             load.is_known ? this->has_room(load.fullness()) : this->is_among_first(now);
         return may_begin ? std::nullopt : std::optional(this->options.retry_after);
@@ -84,17 +84,17 @@
 
 }  // namespace
 
-std::unique_ptr<program_gate> make_open_gate() {
+std::unique_ptr<program_admission> make_unlimited_admission() {
     return std::make_unique<open_admission>();
 }
 
-std::unique_ptr<program_gate> make_fullness_admission(admission_options options,
-                                                      base::random_source& random) {
+std::unique_ptr<program_admission> make_fullness_admission(admission_options options,
+                                                           base::random_source& random) {
     return std::make_unique<fullness_admission>(options, random);
 }
 
-std::unique_ptr<program_gate> make_learning_gate(admission_options options,
-                                                 base::random_source& random) {
+std::unique_ptr<program_admission> make_adaptive_admission(admission_options options,
+                                                           base::random_source& random) {
     return std::make_unique<adaptive_admission>(options, random);
 }
 
--- a/src/pearbarrow/forward/program_gate.h
+++ b/src/pearbarrow/forward/program_admission.h
@@ -28,11 +28,11 @@
     double fullness() const { return slots > 0 ? requests / slots : 0; }
 };
 
-class program_gate {
+class program_admission {
   public:
-    virtual ~program_gate() = default;
+    virtual ~program_admission() = default;
     /// Returns nothing if the program is admitted, and the retry delay if it is rejected.
-    virtual std::optional<base::milliseconds> judge(const service_load& load,
+    virtual std::optional<base::milliseconds> check(const service_load& load,
                                                     base::instant now) = 0;
     /// Records whether the first event of a turn was received within the objective of the route.
     virtual void record_turn(bool /*in_time*/, base::instant /*now*/) {}
@@ -68,15 +68,15 @@
 };
 
 /// Creates an admission that admits every program.
-std::unique_ptr<program_gate> make_open_gate();
+std::unique_ptr<program_admission> make_unlimited_admission();
 /// Creates an admission whose probability of rejection rises between the two bounds of fullness.
 /// Nodes that receive the same delayed load therefore do not open and close at the same time.
-std::unique_ptr<program_gate> make_fullness_admission(admission_options options,
-                                                      base::random_source& random);
+std::unique_ptr<program_admission> make_fullness_admission(admission_options options,
+                                                           base::random_source& random);
 /// Creates an admission whose bounds also shrink while turns are late at the engines and grow while
 /// they are not. With a fixed bound that suits a short burst, the engines remain just full enough
 /// to be late for as long as callers return.
-std::unique_ptr<program_gate> make_learning_gate(admission_options options,
-                                                 base::random_source& random);
+std::unique_ptr<program_admission> make_adaptive_admission(admission_options options,
+                                                           base::random_source& random);
 
 }  // namespace pearbarrow::forward
--- a/src/pearbarrow/forward/request_facts.cc
+++ b/src/pearbarrow/forward/request_facts.cc
@@ -129,7 +129,7 @@
     return std::optional<turn_facts>(
         turn_facts{.program = program,
                    .token_budget = *tokens,
-                   .most_tokens = *most,
+                   .max_tokens = *most,
                    .previous_turn = request.headers.find(names.previous_turn).value_or("")});
 }
 
--- a/src/pearbarrow/forward/request_facts.h
+++ b/src/pearbarrow/forward/request_facts.h
@@ -16,7 +16,7 @@
 struct turn_facts {
     std::string program;
     std::uint64_t token_budget = 0;
-    std::uint64_t most_tokens = 0;
+    std::uint64_t max_tokens = 0;
     /// Empty for a first turn and for a turn that carries its whole prompt.
     std::string previous_turn;
 };
--- a/src/pearbarrow/forward/way_times.cc
+++ b/src/pearbarrow/forward/round_trip_estimates.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/forward/way_times.h"
+#include "pearbarrow/forward/round_trip_estimates.h"
 
 #include <algorithm>
 
--- a/src/pearbarrow/forward/service_load.cc
+++ b/src/pearbarrow/forward/service_load.cc
@@ -17,14 +17,14 @@
     const pool_entry& entry = *item.entry;
     const dispatch::backend_load& others = item.others;
     const double own = entry.mean_gap > 0 ? entry.mean_gap : entry.mean_time;
-    if (own == 0 || others.pace_us == 0) {
-        return std::max<double>(own, others.pace_us);
+    if (own == 0 || others.event_interval_us == 0) {
+        return std::max<double>(own, others.event_interval_us);
     }
     const double requests = entry.in_flight + others.requests;
-    return requests == 0
-               ? (own + others.pace_us) / 2
-               : (own * entry.in_flight + static_cast<double>(others.pace_us) * others.requests) /
-                     requests;
+    return requests == 0 ? (own + others.event_interval_us) / 2
+                         : (own * entry.in_flight +
+                            static_cast<double>(others.event_interval_us) * others.requests) /
+                               requests;
 }
 
 double backend_pool::typical_pace(const candidate_entries& entries) {
@@ -69,7 +69,7 @@
                                                             base::instant now) const {
     std::unordered_set<const pool_entry*> found(used_.begin(), used_.end());
     const auto of_service = services_.find(service);
-    const bool tells_cold = cold_ != nullptr && cold_->is_needed();
+    const bool tells_cold = cold_ != nullptr && cold_->has_cold_rates();
     if (tells_cold && of_service != services_.end()) {
         for (const auto& [is_far, order, entry] : of_service->second.in_own_order()) {
             found.insert(entry);
--- a/src/pearbarrow/membership/member.h
+++ b/src/pearbarrow/membership/member.h
@@ -53,7 +53,7 @@
     /// Whether the node is alive or only suspected.
     bool is_live() const { return state <= member_state::suspect; }
     /// Whether the node is live and accepts new work.
-    bool takes_work() const { return is_live() && !metadata.draining; }
+    bool accepts_work() const { return is_live() && !metadata.draining; }
     auto operator<=>(const member&) const = default;
 };
 
--- a/src/pearbarrow/membership/rendezvous.cc
+++ b/src/pearbarrow/membership/rendezvous.cc
@@ -83,7 +83,7 @@
 std::optional<base::node_id> preferred_owner(base::shard_id shard, const base::region_name& region,
                                              const std::vector<member>& members) {
     return best(shard_key(shard), select_members(members, [&](const member& each) {
-                    return each.takes_work() && each.metadata.region == region;
+                    return each.accepts_work() && each.metadata.region == region;
                 }));
 }
 
@@ -92,12 +92,13 @@
                                                   const std::vector<member>& members) {
     const std::string key = fmt::format("cell/{}/{}", pool.value(), cell);
     const member_pointers regional = select_members(members, [&](const member& each) {
-        return each.takes_work() && each.metadata.region == region;
+        return each.accepts_work() && each.metadata.region == region;
     });
     if (!regional.empty()) {
         return best(key, regional);
     }
-    return best(key, select_members(members, [](const member& each) { return each.takes_work(); }));
+    return best(key,
+                select_members(members, [](const member& each) { return each.accepts_work(); }));
 }
 
 std::vector<base::node_id> platform_followers(const std::vector<member>& members,
@@ -121,7 +122,7 @@
 std::vector<base::node_id> choose_replicas(base::shard_id shard, const base::region_name& region,
                                            const std::vector<member>& members, std::size_t count) {
     const member_pointers candidates = select_members(members, [&](const member& each) {
-        return each.takes_work() && each.metadata.has_disk && each.metadata.region == region;
+        return each.accepts_work() && each.metadata.has_disk && each.metadata.region == region;
     });
     std::map<base::node_id, base::zone_name> zone_of;
     for (const member* each : candidates) {
--- a/src/pearbarrow/membership/swim.h
+++ b/src/pearbarrow/membership/swim.h
@@ -139,7 +139,7 @@
 struct member_entry {
     member value;
     /// Time of the last state change on the clock of this node.
-    base::instant since;
+    base::instant state_changed_at;
     /// For a suspect: the nodes that accused it, and the time at which it is declared dead.
     std::vector<base::node_id> accusers;
     base::instant suspicion_started;
@@ -257,7 +257,7 @@
     void remove_expired(base::instant now, actions& out);
     void send_gossip(base::instant now, actions& out);
     void start_sync(base::instant now, actions& out);
-    void send_digests(const net::endpoint& to, bool wants_answer, actions& out);
+    void send_digests(const net::endpoint& to, bool wants_reply, actions& out);
     void reconnect(base::instant now, actions& out);
     void continue_leaving(base::instant now, actions& out);
 
--- a/src/pearbarrow/membership/swim_gossip.cc
+++ b/src/pearbarrow/membership/swim_gossip.cc
@@ -110,10 +110,10 @@
     }
 }
 
-void swim_core::send_digests(const net::endpoint& to, bool wants_answer, actions& out) {
+void swim_core::send_digests(const net::endpoint& to, bool wants_reply, actions& out) {
     wire::swim_datagram message = make_message(wire::swim_message_kind::sync_digest, 0);
     message.digests = bucket_digests();
-    message.wants_answer = wants_answer;
+    message.wants_reply = wants_reply;
     if (!leaving_) {
         message.records.push_back(to_record(self_));
     }
@@ -127,7 +127,7 @@
         return;
     }
     send_members(from, message.digests, out);
-    if (message.wants_answer) {
+    if (message.wants_reply) {
         send_digests(from, false, out);
     }
 }
--- a/src/pearbarrow/membership/swim_members.cc
+++ b/src/pearbarrow/membership/swim_members.cc
@@ -125,7 +125,7 @@
 void swim_core::add_member(const member& next, base::instant now, actions& out) {
     member_entry& entry = entries_[next.id];
     entry.value = next;
-    entry.since = now;
+    entry.state_changed_at = now;
     entry.ring_position = base::stable_hash(next.id.value());
     entry.report_hash = report_hash(next.id, next.generation);
     by_report_hash_[entry.report_hash] = next.id;
@@ -158,7 +158,7 @@
         set_state(entry, member_state::suspect, now, out);
     }
     if (previous != entry.value.state) {
-        entry.since = now;
+        entry.state_changed_at = now;
     }
     enqueue_update(next.id);
     out.emplace_back(member_changed{entry.value, previous, false});
@@ -238,7 +238,7 @@
     const member_state previous = entry.value.state;
     update_live_count(entry.value.is_live(), state <= member_state::suspect);
     entry.value.state = state;
-    entry.since = now;
+    entry.state_changed_at = now;
     entry.accusers.clear();
     if (state == member_state::suspect) {
         ++statistics_.suspicions;
@@ -329,7 +329,7 @@
 void swim_core::remove_expired(base::instant now, actions& out) {
     std::erase_if(entries_, [&](const auto& each) {
         const member_entry& entry = each.second;
-        if (entry.value.is_live() || now - entry.since < options_.forget_after) {
+        if (entry.value.is_live() || now - entry.state_changed_at < options_.forget_after) {
             return false;
         }
         by_report_hash_.erase(entry.report_hash);
--- a/src/pearbarrow/net/held_bytes.cc
+++ b/src/pearbarrow/net/buffered_bytes.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/net/held_bytes.h"
+#include "pearbarrow/net/buffered_bytes.h"
 
 #include <algorithm>
 #include <numeric>
@@ -9,28 +9,28 @@
 
 namespace pearbarrow::net {
 
-std::string_view to_string(holding kind) {
+std::string_view to_string(buffer_kind kind) {
     switch (kind) {
-        case holding::answers:
+        case buffer_kind::responses:
             return "answers";
-        case holding::requests:
+        case buffer_kind::requests:
             return "requests";
-        case holding::frames:
+        case buffer_kind::frames:
             return "frames";
-        case holding::bodies:
+        case buffer_kind::bodies:
             return "bodies";
     }
     return "unknown";
 }
 
-held_bytes::held_bytes(held_bytes_options options, now_source now)
+buffered_bytes::buffered_bytes(buffered_bytes_options options, now_source now)
     : options(options), now(now ? std::move(now) : net::now) {}
 
-std::size_t held_bytes::total() const {
+std::size_t buffered_bytes::total() const {
     return std::accumulate(this->sums.begin(), this->sums.end(), std::size_t{0});
 }
 
-bool held_bytes::admits(std::size_t bytes, std::size_t counted) const {
+bool buffered_bytes::admits(std::size_t bytes, std::size_t counted) const {
     if (this->options.bound == 0) {
         return true;
     }
@@ -40,25 +40,25 @@
     return static_cast<double>(this->total() - counted + bytes) <= most;
 }
 
-std::size_t held_bytes::share() const {
+std::size_t buffered_bytes::share() const {
     if (this->options.bound == 0) {
         return this->options.max_share;
     }
-    const std::size_t held = this->total();
-    const std::size_t free = held < this->options.bound ? this->options.bound - held : 0;
+    const std::size_t buffered = this->total();
+    const std::size_t free = buffered < this->options.bound ? this->options.bound - buffered : 0;
     const auto part =
         static_cast<std::size_t>(static_cast<double>(free) * this->options.free_share);
     return std::clamp(part, this->options.min_share, this->options.max_share);
 }
 
-held_bytes::holder* held_bytes::next_to_cut_off() const {
+buffered_bytes::buffer_owner* buffered_bytes::next_to_cut_off() const {
     const base::instant stalled_before = this->now() - this->options.stalled_after;
-    holder* selected = nullptr;
+    buffer_owner* selected = nullptr;
     std::tuple<bool, std::size_t> most;
-    for (holder* owner : this->holders) {
+    for (buffer_owner* owner : this->owners) {
         const std::tuple<bool, std::size_t> rank{owner->progressed_at() < stalled_before,
-                                                 owner->held()};
-        if (owner->held() > 0 && (selected == nullptr || rank > most)) {
+                                                 owner->buffered()};
+        if (owner->buffered() > 0 && (selected == nullptr || rank > most)) {
             selected = owner;
             most = rank;
         }
@@ -66,19 +66,19 @@
     return selected;
 }
 
-void held_bytes::enforce() {
-    while (this->is_over()) {
-        holder* owner = this->next_to_cut_off();
+void buffered_bytes::enforce() {
+    while (this->is_over_bound()) {
+        buffer_owner* owner = this->next_to_cut_off();
         if (owner == nullptr) {
             return;
         }
         ++this->cut_offs;
-        this->leave(*owner);
+        this->remove_owner(*owner);
         owner->cut_off();
     }
 }
 
-void held_part::set(std::size_t next) {
+void buffered_part::set(std::size_t next) {
     if (this->ledger != nullptr) {
         this->ledger->remove(this->kind, this->bytes);
         this->ledger->add(this->kind, next);
--- a/src/pearbarrow/net/held_bytes.h
+++ b/src/pearbarrow/net/buffered_bytes.h
@@ -20,9 +20,9 @@
 namespace pearbarrow::net {
 
 /// Kinds of buffered bytes.
-enum class holding : std::uint8_t {
+enum class buffer_kind : std::uint8_t {
     /// Responses that callers have not read.
-    answers,
+    responses,
     /// Requests that back ends have not read.
     requests,
     /// Frames that other nodes have not read.
@@ -31,11 +31,11 @@
     bodies,
 };
 
-inline constexpr std::size_t holding_kinds = 4;
+inline constexpr std::size_t buffer_kind_count = 4;
 
-std::string_view to_string(holding kind);
+std::string_view to_string(buffer_kind kind);
 
-struct held_bytes_options {
+struct buffered_bytes_options {
     /// Limit for all kinds together; 0 disables it.
     std::size_t bound = 0;
     /// Fraction of the bound above which large bodies are rejected. Requests in flight need the
@@ -54,13 +54,13 @@
     base::milliseconds stalled_after{500};
 };
 
-class held_bytes {
+class buffered_bytes {
   public:
     /// An object that buffers bytes until a peer reads them.
-    class holder {
+    class buffer_owner {
       public:
-        virtual ~holder() = default;
-        virtual std::size_t held() const = 0;
+        virtual ~buffer_owner() = default;
+        virtual std::size_t buffered() const = 0;
         /// Time at which the peer last read bytes.
         virtual base::instant progressed_at() const = 0;
         /// Closes the connection to the peer and discards the buffered bytes.
@@ -69,20 +69,22 @@
     using now_source = std::function<base::instant()>;
 
     /// A null `now` selects the monotonic clock of the process.
-    explicit held_bytes(held_bytes_options options = {}, now_source now = nullptr);
-    held_bytes(const held_bytes&) = delete;
-    held_bytes& operator=(const held_bytes&) = delete;
+    explicit buffered_bytes(buffered_bytes_options options = {}, now_source now = nullptr);
+    buffered_bytes(const buffered_bytes&) = delete;
+    buffered_bytes& operator=(const buffered_bytes&) = delete;
 
-    void add(holding kind, std::size_t bytes) { this->sums[index_of(kind)] += bytes; }
-    void remove(holding kind, std::size_t bytes) { this->sums[index_of(kind)] -= bytes; }
+    void add(buffer_kind kind, std::size_t bytes) { this->sums[index_of(kind)] += bytes; }
+    void remove(buffer_kind kind, std::size_t bytes) { this->sums[index_of(kind)] -= bytes; }
     /// Registers an owner, which may be cut off until it leaves.
-    void join(holder& owner) { this->holders.insert(&owner); }
-    void leave(holder& owner) { this->holders.erase(&owner); }
+    void add_owner(buffer_owner& owner) { this->owners.insert(&owner); }
+    void remove_owner(buffer_owner& owner) { this->owners.erase(&owner); }
     /// Cuts off owners until the total is within the bound: stalled owners first, and the largest
     /// of them first. Must not be called from within an operation of an owner.
     void enforce();
 
-    bool is_over() const { return this->options.bound > 0 && this->total() > this->options.bound; }
+    bool is_over_bound() const {
+        return this->options.bound > 0 && this->total() > this->options.bound;
+    }
     /// Whether a body of `bytes` bytes may be admitted, of which `counted` bytes are already
     /// included in the total.
     bool admits(std::size_t bytes, std::size_t counted = 0) const;
@@ -91,39 +93,39 @@
     /// cannot use up the total (dynamic thresholds of shared buffers).
     std::size_t share() const;
     std::size_t total() const;
-    std::size_t of(holding kind) const { return this->sums[index_of(kind)]; }
+    std::size_t of(buffer_kind kind) const { return this->sums[index_of(kind)]; }
     std::size_t bound() const { return this->options.bound; }
     /// Number of owners that were cut off.
     std::uint64_t cut_off_count() const { return this->cut_offs; }
 
   private:
-    static std::size_t index_of(holding kind) { return static_cast<std::size_t>(kind); }
-    holder* next_to_cut_off() const;
+    static std::size_t index_of(buffer_kind kind) { return static_cast<std::size_t>(kind); }
+    buffer_owner* next_to_cut_off() const;
 
-    held_bytes_options options;
+    buffered_bytes_options options;
     now_source now;
-    std::array<std::size_t, holding_kinds> sums{};
-    std::unordered_set<holder*> holders;
+    std::array<std::size_t, buffer_kind_count> sums{};
+    std::unordered_set<buffer_owner*> owners;
     std::uint64_t cut_offs = 0;
 };
 
 /// A number of bytes that is included in the accounting during the lifetime of this object.
-class held_part {
+class buffered_part {
   public:
-    held_part() = default;
-    held_part(std::shared_ptr<held_bytes> ledger, holding kind)
+    buffered_part() = default;
+    buffered_part(std::shared_ptr<buffered_bytes> ledger, buffer_kind kind)
         : ledger(std::move(ledger)), kind(kind) {}
-    held_part(const held_part&) = delete;
-    held_part& operator=(const held_part&) = delete;
-    ~held_part() { this->set(0); }
+    buffered_part(const buffered_part&) = delete;
+    buffered_part& operator=(const buffered_part&) = delete;
+    ~buffered_part() { this->set(0); }
 
     void set(std::size_t bytes);
     void add(std::size_t bytes) { this->set(this->bytes + bytes); }
     std::size_t size() const { return this->bytes; }
 
   private:
-    std::shared_ptr<held_bytes> ledger;
-    holding kind = holding::bodies;
+    std::shared_ptr<buffered_bytes> ledger;
+    buffer_kind kind = buffer_kind::bodies;
     std::size_t bytes = 0;
 };
 
--- a/src/pearbarrow/net/connection.cc
+++ b/src/pearbarrow/net/connection.cc
@@ -74,15 +74,15 @@
 
 void connection::set_pending(std::size_t bytes) {
     const std::size_t before = std::exchange(pending_, bytes);
-    if (options_.held == nullptr) {
+    if (options_.buffered == nullptr) {
         return;
     }
-    options_.held->remove(options_.buffer_kind, before);
-    options_.held->add(options_.buffer_kind, bytes);
+    options_.buffered->remove(options_.kind, before);
+    options_.buffered->add(options_.kind, bytes);
     if (bytes >= min_cut_off_bytes && before < min_cut_off_bytes) {
-        options_.held->join(*this);
+        options_.buffered->add_owner(*this);
     } else if (bytes < min_cut_off_bytes && before >= min_cut_off_bytes) {
-        options_.held->leave(*this);
+        options_.buffered->remove_owner(*this);
     }
 }
 
@@ -249,10 +249,10 @@
         });
         return;
     }
-    if (options_.held != nullptr && options_.held->is_over()) {
+    if (options_.buffered != nullptr && options_.buffered->is_over_bound()) {
         // Posted to the event loop because the connection that is cut off may be inside one of its
         // own calls.
-        boost::asio::post(context_, [held = options_.held] { held->enforce(); });
+        boost::asio::post(context_, [buffered = options_.buffered] { buffered->enforce(); });
     }
     schedule_flush();
 }
--- a/src/pearbarrow/net/connection.h
+++ b/src/pearbarrow/net/connection.h
@@ -15,9 +15,9 @@
 
 #include <absl/status/status.h>
 
+#include "pearbarrow/net/buffered_bytes.h"
 #include "pearbarrow/net/deadline.h"
 #include "pearbarrow/net/endpoint.h"
-#include "pearbarrow/net/held_bytes.h"
 #include "pearbarrow/net/tls.h"
 
 namespace pearbarrow::net {
@@ -42,8 +42,8 @@
     /// Whether the certificate of a TLS server must contain the IP address of the connection.
     bool verify_address = true;
     /// Counts the queued bytes; null disables the accounting.
-    std::shared_ptr<held_bytes> held = nullptr;
-    holding buffer_kind = holding::answers;
+    std::shared_ptr<buffered_bytes> buffered = nullptr;
+    buffer_kind kind = buffer_kind::responses;
 };
 
 /// Total traffic of several connections.
@@ -53,7 +53,7 @@
 };
 
 class connection final : public std::enable_shared_from_this<connection>,
-                         private held_bytes::holder {
+                         private buffered_bytes::buffer_owner {
   public:
     using tcp = boost::asio::ip::tcp;
     using ready_handler = std::function<void(const absl::Status&)>;
@@ -103,7 +103,7 @@
     using error_code = boost::system::error_code;
 
     // Implementation of the buffer owner interface.
-    std::size_t held() const override { return pending_; }
+    std::size_t buffered() const override { return pending_; }
     base::instant progressed_at() const override { return progressed_at_; }
     void cut_off() override;
     /// Updates the number of queued bytes and the shared accounting.
--- a/src/pearbarrow/net/frame_packing.cc
+++ b/src/pearbarrow/net/frame_compression.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/net/frame_packing.h"
+#include "pearbarrow/net/frame_compression.h"
 
 #include <zstd.h>
 
--- a/src/pearbarrow/net/http.h
+++ b/src/pearbarrow/net/http.h
@@ -15,9 +15,9 @@
 #include <absl/status/statusor.h>
 
 #include "pearbarrow/base/clock.h"
+#include "pearbarrow/net/buffered_bytes.h"
 #include "pearbarrow/net/endpoint.h"
 #include "pearbarrow/net/event_loop.h"
-#include "pearbarrow/net/held_bytes.h"
 #include "pearbarrow/net/tls_files.h"
 
 namespace pearbarrow::net {
@@ -106,7 +106,7 @@
     /// A client with more queued bytes is disconnected.
     std::size_t max_pending_bytes = std::size_t{16} * 1024 * 1024;
     /// Counts the bytes buffered for clients and admits request bodies; null disables both.
-    std::shared_ptr<held_bytes> held = nullptr;
+    std::shared_ptr<buffered_bytes> buffered = nullptr;
     std::optional<tls_files> tls;
 };
 
@@ -121,7 +121,7 @@
     /// The bound address. Its port differs from the option if the option is 0.
     virtual endpoint local_endpoint() const = 0;
     /// Closes each connection after its next response. New connections are still accepted.
-    virtual void begin_closing() = 0;
+    virtual void disable_keep_alive() = 0;
     /// Accepts no new connections and closes idle ones. Responses in progress continue.
     virtual void stop_accepting() = 0;
     /// Sets the limits for subsequent requests.
@@ -143,7 +143,7 @@
     endpoint server;
     /// Distinguishes successive processes at one address. An idle connection is reused only by
     /// calls with the same value.
-    std::uint64_t server_run = 0;
+    std::uint64_t server_incarnation = 0;
     std::string method;
     std::string target;
     http_headers headers;
@@ -211,7 +211,7 @@
     /// servers, so that a request seldom uses a connection that its server is closing.
     base::milliseconds idle_lifetime{10'000};
     /// Counts the request bytes that servers have not read; null disables the accounting.
-    std::shared_ptr<held_bytes> held = nullptr;
+    std::shared_ptr<buffered_bytes> buffered = nullptr;
     /// Enables TLS. The certificate of a server must contain its IP address.
     std::optional<tls_files> tls;
 };
--- a/src/pearbarrow/net/http_call_core.cc
+++ b/src/pearbarrow/net/http_call_core.cc
@@ -32,7 +32,7 @@
         end(core_->tls_status);
         return;
     }
-    if (auto link = core_->take_idle({call_.server, call_.server_run}); link != nullptr) {
+    if (auto link = core_->take_idle({call_.server, call_.server_incarnation}); link != nullptr) {
         was_idle_ = true;
         send(std::move(link));
         return;
@@ -46,8 +46,8 @@
         deadline_.set_after(call_.connect_timeout);
     }
     const connection_options limits{.read_buffer_bytes = client_read_bytes,
-                                    .held = core_->options.held,
-                                    .buffer_kind = holding::requests};
+                                    .buffered = core_->options.buffered,
+                                    .kind = buffer_kind::requests};
     link_ = std::make_shared<connection>(core_->context, connection::tcp::socket(core_->context),
                                          core_->tls, limits);
     const auto started_at = std::chrono::steady_clock::now();
@@ -83,7 +83,7 @@
     if (!call_.may_send || call_.may_send()) {
         return false;
     }
-    core_->keep_idle({call_.server, call_.server_run}, link, std::nullopt);
+    core_->keep_idle({call_.server, call_.server_incarnation}, link, std::nullopt);
     link_ = nullptr;
     end(base::make_error(
         absl::StatusCode::kAborted, "the request may not be sent any more",
@@ -179,7 +179,7 @@
     // be able to read from the connection.
     resume();
     if (reader_->keep_alive() && inbox_.empty() && link_->is_open()) {
-        core_->keep_idle({call_.server, call_.server_run}, link_, reader_->idle_lifetime());
+        core_->keep_idle({call_.server, call_.server_incarnation}, link_, reader_->idle_lifetime());
         link_ = nullptr;
     }
     end(absl::OkStatus());
--- a/src/pearbarrow/net/http_call_core.h
+++ b/src/pearbarrow/net/http_call_core.h
@@ -21,10 +21,10 @@
 /// A process at an address, as identified by `http_call`.
 struct server_process {
     endpoint address;
-    std::uint64_t run = 0;
+    std::uint64_t incarnation = 0;
 
     bool operator<(const server_process& other) const {
-        return std::tie(address, run) < std::tie(other.address, other.run);
+        return std::tie(address, incarnation) < std::tie(other.address, other.incarnation);
     }
 };
 
--- a/src/pearbarrow/net/http_exchange.cc
+++ b/src/pearbarrow/net/http_exchange.cc
@@ -9,7 +9,7 @@
     : core_(std::move(core)),
       session_(session),
       request_(std::move(request)),
-      body_(core_->options.held, holding::bodies),
+      body_(core_->options.buffered, buffer_kind::bodies),
       is_head_(request_.method == "HEAD") {
     body_.set(request_.body.size());
     ++core_->open_exchanges;
--- a/src/pearbarrow/net/http_exchange.h
+++ b/src/pearbarrow/net/http_exchange.h
@@ -41,7 +41,7 @@
     std::shared_ptr<http_server_core> core_;
     std::weak_ptr<http_session> session_;
     http_request request_;
-    held_part body_;
+    buffered_part body_;
     std::function<void()> on_closed_;
     std::function<void()> on_progress_;
     std::string lost_reason_;
--- a/src/pearbarrow/net/http_server.cc
+++ b/src/pearbarrow/net/http_server.cc
@@ -39,7 +39,7 @@
 
     endpoint local_endpoint() const override { return listener_.local_endpoint(); }
 
-    void begin_closing() override { core_->closing = true; }
+    void disable_keep_alive() override { core_->closing = true; }
 
     void set_limits(std::size_t max_header_bytes, std::size_t max_body_bytes,
                     base::milliseconds request_timeout) override {
@@ -76,8 +76,8 @@
         }
         const connection_options limits{.max_pending_bytes = core_->options.max_pending_bytes,
                                         .write_timeout = core_->options.write_timeout,
-                                        .held = core_->options.held,
-                                        .buffer_kind = holding::answers};
+                                        .buffered = core_->options.buffered,
+                                        .kind = buffer_kind::responses};
         auto link = std::make_shared<connection>(context_, std::move(socket), tls_, limits);
         auto session = std::make_shared<http_session>(context_, core_, std::move(link));
         core_->sessions.insert(session);
--- a/src/pearbarrow/net/http_session.cc
+++ b/src/pearbarrow/net/http_session.cc
@@ -38,7 +38,7 @@
                            std::shared_ptr<connection> link)
     : core_(std::move(core)),
       link_(std::move(link)),
-      buffered_request_(core_->options.held, holding::bodies),
+      buffered_request_(core_->options.buffered, buffer_kind::bodies),
       request_deadline_(context, [this] { on_request_timeout(); }) {}
 
 void http_session::start(bool is_overloaded) {
@@ -74,9 +74,10 @@
 
 /// Whether the bytes received for this request are within the memory limits.
 bool http_session::is_within_memory_limits() const {
-    const std::shared_ptr<held_bytes>& held = core_->options.held;
+    const std::shared_ptr<buffered_bytes>& buffered = core_->options.buffered;
     return core_->receiving_bytes <= core_->options.max_receiving_bytes &&
-           (held == nullptr || held->admits(buffered_request_.size(), buffered_request_.size()));
+           (buffered == nullptr ||
+            buffered->admits(buffered_request_.size(), buffered_request_.size()));
 }
 
 void http_session::read_request() {
@@ -104,8 +105,8 @@
 void http_session::on_head() {
     if (overloaded_) {
         refuse(503, "too_many_connections", "the server has as many connections as it takes");
-    } else if (const auto& held = core_->options.held;
-               held != nullptr && !held->admits(reader_->content_length())) {
+    } else if (const auto& buffered = core_->options.buffered;
+               buffered != nullptr && !buffered->admits(reader_->content_length())) {
         refuse(503, "memory_bound", "the server holds as many bytes as it may");
     } else if (reader_->expects_continue()) {
         link_->write("HTTP/1.1 100 Continue\r\n\r\n");
--- a/src/pearbarrow/net/http_session.h
+++ b/src/pearbarrow/net/http_session.h
@@ -75,7 +75,7 @@
     std::string inbox_;
     /// Bytes of this session in `receiving_bytes`.
     std::size_t received_bytes_ = 0;
-    held_part buffered_request_;
+    buffered_part buffered_request_;
     std::weak_ptr<session_exchange> exchange_;
     bool responding_ = false;
     bool client_keeps_alive_ = true;
--- a/src/pearbarrow/net/peer_frame.cc
+++ b/src/pearbarrow/net/peer_frame.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "pearbarrow/base/status.h"
-#include "pearbarrow/net/frame_packing.h"
+#include "pearbarrow/net/frame_compression.h"
 #include "pearbarrow/wire/codec.h"
 
 namespace pearbarrow::net {
--- a/src/pearbarrow/net/peer_frame.h
+++ b/src/pearbarrow/net/peer_frame.h
@@ -30,7 +30,7 @@
     cancel = 6,
     probe = 7,
     probe_reply = 8,
-    /// A compressed frame without its length prefix (`frame_packing.h`).
+    /// A compressed frame without its length prefix (`frame_compression.h`).
     packed = 9,
 };
 
--- a/src/pearbarrow/net/peer_link.cc
+++ b/src/pearbarrow/net/peer_link.cc
@@ -22,8 +22,8 @@
             .write_timeout = options.write_timeout,
             .read_buffer_bytes = read_bytes,
             .verify_address = false,
-            .held = options.held,
-            .buffer_kind = holding::frames};
+            .buffered = options.buffered,
+            .kind = buffer_kind::frames};
 }
 
 absl::Status bad_link(std::string_view message, std::string peer, std::string reason) {
@@ -60,17 +60,17 @@
 void framed_link::send(const peer_frame& frame) {
     std::string bytes = encode_frame(frame);
     const auto kind = static_cast<frame_kind>(frame.kind);
-    const bool is_answer =
+    const bool is_reply =
         kind == frame_kind::part || kind == frame_kind::reply || kind == frame_kind::error;
-    link_->write(prepare_frame(frame.method, is_answer, std::move(bytes)));
+    link_->write(prepare_frame(frame.method, is_reply, std::move(bytes)));
 }
 
-std::string framed_link::prepare_frame(wire::method_number method, bool is_answer,
+std::string framed_link::prepare_frame(wire::method_number method, bool is_reply,
                                        std::string encoded) {
     if (compresses_) {
         encoded = compress_frame(std::move(encoded));
     }
-    core_->traffic.add(method, is_answer, distance_, encoded.size());
+    core_->traffic.add(method, is_reply, distance_, encoded.size());
     return encoded;
 }
 
--- a/src/pearbarrow/net/peer_link.h
+++ b/src/pearbarrow/net/peer_link.h
@@ -35,7 +35,7 @@
     void begin();
     void send(const peer_frame& frame);
     /// Counts an outgoing frame, and compresses it if the link crosses zones.
-    std::string prepare_frame(wire::method_number method, bool is_answer, std::string encoded);
+    std::string prepare_frame(wire::method_number method, bool is_reply, std::string encoded);
     void send_hello();
     /// Closes the link unless the hello of the peer arrives within `time`.
     void expect_hello_within(base::milliseconds time) { hello_deadline_.set_after(time); }
--- a/src/pearbarrow/net/peer_rpc.cc
+++ b/src/pearbarrow/net/peer_rpc.cc
@@ -154,8 +154,8 @@
             connection_options{.max_pending_bytes = options.max_queued_bytes,
                                .write_timeout = options.write_timeout,
                                .read_buffer_bytes = read_bytes,
-                               .held = options.held,
-                               .buffer_kind = holding::frames},
+                               .buffered = options.buffered,
+                               .kind = buffer_kind::frames},
             core->counters);
         auto inbound = std::make_shared<peer_inbound>(core, std::move(link));
         core->inbound.insert(inbound);
--- a/src/pearbarrow/net/peer_rpc.h
+++ b/src/pearbarrow/net/peer_rpc.h
@@ -21,9 +21,9 @@
 
 #include "pearbarrow/base/clock.h"
 #include "pearbarrow/base/ids.h"
+#include "pearbarrow/net/buffered_bytes.h"
 #include "pearbarrow/net/endpoint.h"
 #include "pearbarrow/net/event_loop.h"
-#include "pearbarrow/net/held_bytes.h"
 #include "pearbarrow/net/peer_traffic.h"
 #include "pearbarrow/net/tls_files.h"
 #include "pearbarrow/wire/methods.h"
@@ -62,7 +62,7 @@
     /// A peer that reads none of the sent bytes for this long is disconnected.
     base::milliseconds write_timeout{8'000};
     /// Counts the bytes that peers have not read; null disables the accounting.
-    std::shared_ptr<held_bytes> held = nullptr;
+    std::shared_ptr<buffered_bytes> buffered = nullptr;
     /// Enables mutual TLS. Both certificates must be signed by `client_authorities`, which should
     /// sign certificates of nodes only.
     std::optional<tls_files> tls;
--- a/src/pearbarrow/net/peer_traffic.h
+++ b/src/pearbarrow/net/peer_traffic.h
@@ -24,7 +24,7 @@
     /// 0 for frames of the link itself (hello, probes, cancellations).
     wire::method_number method = 0;
     /// Whether the row counts replies of the called node instead of requests to it.
-    bool is_answer = false;
+    bool is_reply = false;
     peer_distance distance = peer_distance::unknown;
     std::uint64_t frames = 0;
     /// Includes the length prefixes of frames, but neither TLS nor lower layers.
@@ -34,9 +34,9 @@
 /// Totals since the start.
 class peer_traffic {
   public:
-    void add(wire::method_number method, bool is_answer, peer_distance distance,
+    void add(wire::method_number method, bool is_reply, peer_distance distance,
              std::uint64_t bytes) {
-        sum& total = this->sums[{method, is_answer, distance}];
+        sum& total = this->sums[{method, is_reply, distance}];
         ++total.frames;
         total.bytes += bytes;
     }
@@ -44,8 +44,8 @@
     std::vector<traffic_row> rows() const {
         std::vector<traffic_row> result;
         for (const auto& [key, total] : this->sums) {
-            const auto& [method, is_answer, distance] = key;
-            result.push_back({method, is_answer, distance, total.frames, total.bytes});
+            const auto& [method, is_reply, distance] = key;
+            result.push_back({method, is_reply, distance, total.frames, total.bytes});
         }
         return result;
     }
--- a/src/pearbarrow/node/dispatcher_client.cc
+++ b/src/pearbarrow/node/dispatcher_client.cc
@@ -66,7 +66,7 @@
     offer.attained_tokens = call.attained_tokens;
     offer.waited_ms = static_cast<std::uint64_t>(call.waited.count());
     offer.depth = call.sub_program ? 1 : 0;
-    offer.avoid = call.avoid;
+    offer.excluded_engines = call.avoid;
     offer.deadline_ms =
         static_cast<std::uint64_t>(std::max<std::int64_t>(call.time_left.count(), 0));
     offer.program_age_ms = static_cast<std::uint64_t>(call.program_age.count());
@@ -151,7 +151,7 @@
         offer_later(attempt);
         return;
     }
-    if (decoded->answer == wire::placement_answer::refused) {
+    if (decoded->answer == wire::placement_outcome::refused) {
         const placement_callbacks callbacks = std::move(item.callbacks);
         const absl::Status status = to_status(*decoded, item.dispatcher);
         placements_.erase(found);
--- a/src/pearbarrow/node/node.cc
+++ b/src/pearbarrow/node/node.cc
@@ -347,7 +347,7 @@
 bool node::has_successor() const {
     const auto& members = membership_.live_members();
     return std::any_of(members.begin(), members.end(), [this](const membership::member& each) {
-        return each.id != context_.self() && each.takes_work() &&
+        return each.id != context_.self() && each.accepts_work() &&
                each.metadata.region == context_.settings.region;
     });
 }
--- a/src/pearbarrow/node/quota_service.cc
+++ b/src/pearbarrow/node/quota_service.cc
@@ -104,7 +104,7 @@
 
 base::node_id quota_service::home_of(const program::quota_key& key) const {
     std::vector<membership::member> candidates = health_.reachable(membership_.live_members());
-    std::erase_if(candidates, [](const membership::member& each) { return !each.takes_work(); });
+    std::erase_if(candidates, [](const membership::member& each) { return !each.accepts_work(); });
     const auto best = membership::rank("quota/" + config::to_string(key.source), candidates, 1);
     return best.empty() ? context_.self() : best.front();
 }
--- a/src/pearbarrow/node/replica_repair.cc
+++ b/src/pearbarrow/node/replica_repair.cc
@@ -66,7 +66,7 @@
 void replica_repair::watch_nodes() {
     usable_.clear();
     for (const membership::member& member : membership_.live_members()) {
-        if (member.takes_work() && member.metadata.has_disk) {
+        if (member.accepts_work() && member.metadata.has_disk) {
             usable_.insert(member.id);
         }
     }
@@ -83,7 +83,7 @@
     const auto found = unusable_since_.find(node);
     const base::instant since = found == unusable_since_.end() ? started_ : found->second;
     return !usable_.contains(node) &&
-           context_.now() - since > context_.settings.timing.replica_patience;
+           context_.now() - since > context_.settings.timing.replica_timeout;
 }
 
 std::vector<repair_node> replica_repair::nodes_of(
--- a/src/pearbarrow/node/shard_map_bootstrap.cc
+++ b/src/pearbarrow/node/shard_map_bootstrap.cc
@@ -42,7 +42,7 @@
     std::vector<membership::member> nodes;
     const auto& live = membership_.live_members();
     std::copy_if(live.begin(), live.end(), std::back_inserter(nodes), [](const auto& member) {
-        return member.metadata.has_disk && member.takes_work();
+        return member.metadata.has_disk && member.accepts_work();
     });
     return nodes;
 }
--- a/src/pearbarrow/operator/control_client.cc
+++ b/src/pearbarrow/operator/control_client.cc
@@ -146,7 +146,7 @@
                                 {.step = "send", .peer = server, .reason = "no_answer"});
     }
     if (!answer->ok()) {
-        return base::at_step(answer->status(), "connect", server);
+        return base::with_step(answer->status(), "connect", server);
     }
     const auto& response = **answer;
     if (response.status >= 300) {
--- a/src/pearbarrow/placement/scheduler_grants.cc
+++ b/src/pearbarrow/placement/scheduler_grants.cc
@@ -63,7 +63,8 @@
             continue;
         }
         mask |= bit;
-        if (std::count(offer.avoid.begin(), offer.avoid.end(), engine.backend) > 0) {
+        if (std::count(offer.excluded_engines.begin(), offer.excluded_engines.end(),
+                       engine.backend) > 0) {
             failed_before |= bit;
         }
     }
@@ -115,7 +116,8 @@
     if (std::uint64_t{offer.prompt_tokens} + offer.max_output_tokens > engine.context_limit) {
         return "context_too_long";
     }
-    if (std::count(offer.avoid.begin(), offer.avoid.end(), engine.backend) > 0) {
+    if (std::count(offer.excluded_engines.begin(), offer.excluded_engines.end(), engine.backend) >
+        0) {
         return "avoided";
     }
     return "denied_by_rule";
@@ -397,7 +399,7 @@
 wire::placement_reply to_reply(const cell_action& action) {
     wire::placement_reply reply;
     if (const auto* granted = std::get_if<grant_action>(&action)) {
-        reply.answer = wire::placement_answer::granted;
+        reply.answer = wire::placement_outcome::granted;
         reply.attempt = granted->attempt;
         reply.backend = granted->backend;
         reply.grant = granted->grant;
--- a/src/pearbarrow/places/place_rules.h
+++ b/src/pearbarrow/places/zone_rules.h
@@ -18,7 +18,7 @@
 /// Region by zone.
 using region_table = std::map<std::string, std::string, std::less<>>;
 
-enum class place_verdict {
+enum class zone_verdict {
     permitted,
     /// An operator wants the zone's back ends to receive no new requests.
     zone_emptied,
@@ -28,11 +28,11 @@
     region_unknown,
 };
 
-std::string_view to_string(place_verdict verdict);
+std::string_view to_string(zone_verdict verdict);
 
 /// Region limits of a request. Empty: every region is permitted. If both have regions, both limits
 /// apply.
-struct place_request {
+struct region_limits {
     std::span<const std::string> route_regions;
     std::span<const std::string> tenant_regions;
 
@@ -44,24 +44,24 @@
     /// Revision of the directory service at which the operator requested it.
     std::uint64_t since = 0;
     /// Time at which this node received it.
-    base::instant heard_at{};
+    base::instant received_at{};
 };
 
-class place_rules {
+class zone_rules {
   public:
     using emptied_zones = std::map<std::string, emptied_zone_record, std::less<>>;
 
-    explicit place_rules(region_table regions) : regions(std::move(regions)) {}
+    explicit zone_rules(region_table regions) : regions(std::move(regions)) {}
 
     void set_emptied(const directory::emptied_zone_list& list, base::instant now = {});
     /// Whether the list of emptied zones has been received. Until then no request may be sent.
-    bool knows_emptied() const { return this->has_emptied_list; }
+    bool is_emptied_list_known() const { return this->has_emptied_list; }
     /// Whether the request may be sent to a back end in the zone now.
-    place_verdict judge(const place_request& request, std::string_view zone) const;
+    zone_verdict check(const region_limits& request, std::string_view zone) const;
     /// Whether a machine in the zone may store the request's texts, independent of emptied zones.
-    place_verdict check_region(const place_request& request, std::string_view zone) const;
+    zone_verdict check_region(const region_limits& request, std::string_view zone) const;
     bool is_emptied(std::string_view zone) const { return this->emptied.contains(zone); }
-    const emptied_zones& all_emptied() const { return this->emptied; }
+    const emptied_zones& emptied_zones_by_name() const { return this->emptied; }
     /// Returns the region of the zone, or an empty string if it is unknown.
     std::string_view region_of(std::string_view zone) const;
 
--- a/src/pearbarrow/platform/key_value_client.cc
+++ b/src/pearbarrow/platform/key_value_client.cc
@@ -144,7 +144,7 @@
 
     void done(absl::Status status) {
         if (!status.ok()) {
-            end(base::at_step(std::move(status), "watch", peer_));
+            end(base::with_step(std::move(status), "watch", peer_));
         } else if (status_ != status_ok) {
             end(refused({status_, {}, buffer_}, peer_));
         } else {
@@ -281,7 +281,7 @@
                                        const std::string& peer) {
         if (!response.ok()) {
             ++next_endpoint_;
-            return base::at_step(response.status(), "key_value", peer);
+            return base::with_step(response.status(), "key_value", peer);
         }
         if (response->status != status_ok) {
             next_endpoint_ += response->status > status_too_many_requests ? 1 : 0;
@@ -289,7 +289,7 @@
         }
         auto result = read(json::parse(response->body, nullptr, false));
         if (!result.ok()) {
-            return base::at_step(result.status(), "key_value", peer);
+            return base::with_step(result.status(), "key_value", peer);
         }
         return result;
     }
--- a/src/pearbarrow/platform/machine_list_client.cc
+++ b/src/pearbarrow/platform/machine_list_client.cc
@@ -67,7 +67,7 @@
     http_.fetch(std::move(call), [callback = std::move(callback),
                                   peer](absl::StatusOr<net::http_response> response) {
         if (!response.ok()) {
-            callback(base::at_step(response.status(), step, peer));
+            callback(base::with_step(response.status(), step, peer));
         } else if (response->status != status_ok) {
             callback(list_error(absl::StatusCode::kUnavailable,
                                 fmt::format("HTTP status {}", response->status), peer));
--- a/src/pearbarrow/platform/weight_store_client.cc
+++ b/src/pearbarrow/platform/weight_store_client.cc
@@ -73,7 +73,7 @@
     http_.fetch(std::move(call), [callback = std::move(callback), model,
                                   peer](absl::StatusOr<net::http_response> response) {
         if (!response.ok()) {
-            callback(base::at_step(response.status(), "weight_store", peer));
+            callback(base::with_step(response.status(), "weight_store", peer));
         } else if (response->status != status_ok) {
             callback(refused(*response, peer));
         } else {
--- a/src/pearbarrow/program/program_state.cc
+++ b/src/pearbarrow/program/program_state.cc
@@ -56,7 +56,7 @@
     if (!body.model) {
         return 0;
     }
-    std::uint64_t tokens = history_tokens + base::answer_header_tokens;
+    std::uint64_t tokens = history_tokens + base::response_header_tokens;
     for (const wire::chat_message& message : body.model->new_messages) {
         tokens += message_tokens(message);
     }
--- a/src/pearbarrow/settings/fleet_settings.cc
+++ b/src/pearbarrow/settings/fleet_settings.cc
@@ -53,8 +53,8 @@
     read_hundredths(reader, "dispatch.affinity_percent", 100, 1'000, dispatch.affinity_factor);
     read_hundredths(reader, "dispatch.affinity_slack_percent", 0, 10'000, dispatch.affinity_slack);
     reader.read_flag("dispatch.by_cost", dispatch.by_cost);
-    reader.read_flag("dispatch.bounds_programs", dispatch.bounds_programs);
-    reader.read_flag("dispatch.tells_priority", dispatch.tells_priority);
+    reader.read_flag("dispatch.bounds_programs", dispatch.limits_programs);
+    reader.read_flag("dispatch.tells_priority", dispatch.sends_priority);
     reader.read_milliseconds("dispatch.lapse_grace_ms", base::milliseconds{0},
                              base::milliseconds{10'000}, dispatch.lapse_grace);
 }
--- a/src/pearbarrow/settings/fleet_settings.h
+++ b/src/pearbarrow/settings/fleet_settings.h
@@ -33,11 +33,11 @@
     /// place. A burst of three in one of three regions: worth 0.576 without, 0.884 with it; a calm
     /// day there 0.884 and 0.871, as more connections are opened (one day each).
     bool by_cost = true;
-    /// New programs are turned away while their engines are full (`forward/program_gate.h`).
-    bool bounds_programs = true;
+    /// New programs are turned away while their engines are full (`forward/program_admission.h`).
+    bool limits_programs = true;
     /// Engines are told how urgent each turn is (`forward/engine_priority.h`). Off: beside
-    /// `bounds_programs` a day with a burst of 1.5 was worth 0.66 and 0.67 with it, 0.78 without.
-    bool tells_priority = false;
+    /// `limits_programs` a day with a burst of 1.5 was worth 0.66 and 0.67 with it, 0.78 without.
+    bool sends_priority = false;
     /// How long back ends that vanish together are used; 0: not at all.
     base::milliseconds lapse_grace{1'800};
 };
--- a/src/pearbarrow/settings/node_settings.cc
+++ b/src/pearbarrow/settings/node_settings.cc
@@ -168,7 +168,7 @@
     reader.read_milliseconds("timing.write_timeout_ms", shortest, day, timing.write_timeout);
     reader.read_milliseconds("timing.call_timeout_ms", shortest, day, timing.call_timeout);
     reader.read_milliseconds("timing.drain_timeout_ms", shortest, day, timing.drain_timeout);
-    reader.read_milliseconds("timing.replica_patience_ms", shortest, day, timing.replica_patience);
+    reader.read_milliseconds("timing.replica_patience_ms", shortest, day, timing.replica_timeout);
     reader.read_milliseconds("timing.cache_reconcile_interval_ms", shortest, day,
                              timing.cache_reconcile_interval);
 }
--- a/src/pearbarrow/settings/node_settings.h
+++ b/src/pearbarrow/settings/node_settings.h
@@ -98,7 +98,7 @@
     base::milliseconds call_timeout{120'000};
     base::milliseconds drain_timeout{60'000};
     /// A node that has been dead or draining for longer has its journal replicas replaced.
-    base::milliseconds replica_patience{300'000};
+    base::milliseconds replica_timeout{300'000};
     /// Between two comparisons of an engine's memory with the programs that live.
     base::milliseconds cache_reconcile_interval{10'000};
 };
--- a/src/pearbarrow/slowstart/cold_table.cc
+++ b/src/pearbarrow/slowstart/cold_table.cc
@@ -92,19 +92,19 @@
     this->emptied_zones = std::move(next);
 }
 
-void cold_table::note_gap(base::instant now) {
+void cold_table::on_update_gap(base::instant now) {
     for (auto& [id, entry] : this->states) {
         entry.possibly_cold_since = now;
     }
 }
 
-void cold_table::note_unreachable(std::string_view id) {
+void cold_table::on_unreachable(std::string_view id) {
     if (const auto found = this->states.find(id); found != this->states.end()) {
         found->second.unreachable = true;
     }
 }
 
-void cold_table::note_reached(std::string_view id, base::instant now) {
+void cold_table::on_response(std::string_view id, base::instant now) {
     const auto found = this->states.find(id);
     if (found != this->states.end() && std::exchange(found->second.unreachable, false)) {
         found->second.possibly_cold_since = now;
--- a/src/pearbarrow/slowstart/cold_table.h
+++ b/src/pearbarrow/slowstart/cold_table.h
@@ -38,11 +38,11 @@
     void set_backends(const directory::backend_list& list, base::instant now);
     void set_emptied_zones(const directory::emptied_zone_list& list, base::instant now);
     /// Handles the end of a time without updates: any back end may have started meanwhile.
-    void note_gap(base::instant now);
+    void on_update_gap(base::instant now);
     /// Handles a failed connection: the process may have ended, and is cold when it is back.
-    void note_unreachable(std::string_view id);
+    void on_unreachable(std::string_view id);
     /// Handles a response of the back end.
-    void note_reached(std::string_view id, base::instant now);
+    void on_response(std::string_view id, base::instant now);
 
     /// Returns the cold start for which a request needs a permit. Empty if the back end is warm or
     /// its service has no cold rate.
@@ -50,7 +50,7 @@
     bool is_cold(std::string_view id, base::instant now) const;
     std::size_t cold_count(base::instant now) const;
     /// Returns whether the configuration has services with a cold rate.
-    bool is_needed() const { return !this->bounds.empty(); }
+    bool has_cold_rates() const { return !this->bounds.empty(); }
 
   private:
     /// Configuration of a service whose back ends start cold.
--- a/src/pearbarrow/slowstart/start_limits.cc
+++ b/src/pearbarrow/slowstart/start_limits.cc
@@ -23,13 +23,13 @@
 
 }  // namespace
 
-std::string limit_name(std::string_view backend) {
+std::string permit_limit_name(std::string_view backend) {
     return "start/" + std::string(backend);
 }
 
 tenants::quota_options permit_ledger_options(base::node_id self) {
     tenants::quota_options options{.self = std::move(self)};
-    options.extra = extra_permits_per_share;
+    options.extra_tokens = extra_permits_per_share;
     // A member that has just become responsible does not know what was granted before.
     options.initial_tokens = 0;
     options.window = base::milliseconds{1'000};
@@ -38,7 +38,7 @@
     return options;
 }
 
-double granted_in_second(double rate, const start_bound& bound) {
+double max_permits_per_second(double rate, const start_bound& bound) {
     return granted_fraction * (rate * bound.overage + bound.slack);
 }
 
@@ -102,9 +102,9 @@
             continue;
         }
         directory::tenant limit;
-        limit.name = limit_name(id);
+        limit.name = permit_limit_name(id);
         limit.rate =
-            std::max(granted_in_second(rate->second, this->bound) - extra_permits, min_rate);
+            std::max(max_permits_per_second(rate->second, this->bound) - extra_permits, min_rate);
         config.tenants.push_back(std::move(limit));
     }
     return config;
--- a/src/pearbarrow/slowstart/start_limits.h
+++ b/src/pearbarrow/slowstart/start_limits.h
@@ -25,7 +25,7 @@
 };
 
 /// Returns the name under which the ledger counts a back end's permits.
-std::string limit_name(std::string_view backend);
+std::string permit_limit_name(std::string_view backend);
 
 /// Returns options of the ledger that counts permits. Its window is the second of the operator's
 /// bound.
@@ -33,7 +33,7 @@
 
 /// Returns the maximum number of permits that all members together grant in any second, while they
 /// agree on the view.
-double granted_in_second(double rate, const start_bound& bound);
+double max_permits_per_second(double rate, const start_bound& bound);
 
 /// Derives the limits from the configuration and the back ends that a storage member knows. A pure
 /// state machine.
@@ -47,7 +47,7 @@
     /// Replaces the whole list of back ends.
     void set_backends(const directory::backend_list& list, base::instant now);
     /// Returns whether any service has a cold rate.
-    bool is_needed() const { return !this->rates.empty(); }
+    bool has_cold_rates() const { return !this->rates.empty(); }
     /// Returns the limits, in the form that `tenants::quota_ledger::set_configuration` takes.
     directory::configuration limits() const;
 
--- a/src/pearbarrow/slowstart/start_permit.cc
+++ b/src/pearbarrow/slowstart/start_permit.cc
@@ -8,7 +8,7 @@
             return "granted";
         case permit_verdict::refused:
             return "refused";
-        case permit_verdict::unanswered:
+        case permit_verdict::no_reply:
             return "unanswered";
     }
     return "unknown";
--- a/src/pearbarrow/slowstart/start_permit.h
+++ b/src/pearbarrow/slowstart/start_permit.h
@@ -31,13 +31,13 @@
     /// The back end's rate is exhausted.
     refused,
     /// No member that can grant the permit replied. The request goes to another back end.
-    unanswered,
+    no_reply,
 };
 
 std::string_view to_string(permit_verdict verdict);
 
 struct permit_decision {
-    permit_verdict verdict = permit_verdict::unanswered;
+    permit_verdict verdict = permit_verdict::no_reply;
     /// Estimated time until a permit is available.
     base::milliseconds retry_after{0};
 };
@@ -47,7 +47,7 @@
     virtual ~permit_source() = default;
     /// Calls `done` once, never before this function returns. The caller must not destroy the
     /// operation inside `done`; destroying it earlier cancels the request.
-    [[nodiscard]] virtual std::unique_ptr<turns::turn_operation> ask(
+    [[nodiscard]] virtual std::unique_ptr<turns::turn_operation> request_permit(
         const cold_start& target, std::function<void(const permit_decision&)> done) = 0;
 };
 
--- a/src/pearbarrow/slowstart/start_quota.cc
+++ b/src/pearbarrow/slowstart/start_quota.cc
@@ -31,10 +31,10 @@
             return permit_verdict::granted;
         case tenants::quota_verdict::over_limit:
             return permit_verdict::refused;
-        case tenants::quota_verdict::unanswered:
-            return permit_verdict::unanswered;
+        case tenants::quota_verdict::no_reply:
+            return permit_verdict::no_reply;
     }
-    return permit_verdict::unanswered;
+    return permit_verdict::no_reply;
 }
 
 }  // namespace
@@ -42,14 +42,14 @@
 tenants::quota_client_options permit_client_options() {
     tenants::quota_client_options options;
     options.method = wire::start_permit;
-    options.patience = call_timeout;
-    options.least_retry_after = base::milliseconds{10};
+    options.call_timeout = call_timeout;
+    options.min_retry_after = base::milliseconds{10};
     // Members extend their window by 200 ms, of which 50 ms are reserved for connecting.
     options.grant_lifetime = base::milliseconds{150};
     return options;
 }
 
-std::unique_ptr<turns::turn_operation> start_quota::ask(
+std::unique_ptr<turns::turn_operation> start_quota::request_permit(
     const cold_start& target, std::function<void(const permit_decision&)> done) {
     const base::instant now = this->clock.now();
     std::erase_if(this->exhausted_until, [now](const auto& item) { return item.second <= now; });
@@ -61,8 +61,8 @@
             std::move(done));
     }
     // Each request starts with a random member, so that all shares are used evenly.
-    return this->client.ask(
-        {.tenant = limit_name(target.backend), .program = this->random.next() | 1U},
+    return this->client.request_grant(
+        {.tenant = permit_limit_name(target.backend), .program = this->random.next() | 1U},
         [this, backend = target.backend,
          done = std::move(done)](const tenants::quota_decision& decision) {
             this->on_decision(backend, decision, done);
--- a/src/pearbarrow/slowstart/start_quota.h
+++ b/src/pearbarrow/slowstart/start_quota.h
@@ -23,7 +23,7 @@
                 tenants::quota_client& client)
         : loop(loop), clock(clock), random(random), client(client) {}
 
-    [[nodiscard]] std::unique_ptr<turns::turn_operation> ask(
+    [[nodiscard]] std::unique_ptr<turns::turn_operation> request_permit(
         const cold_start& target, std::function<void(const permit_decision&)> done) override;
 
   private:
--- a/src/pearbarrow/tenants/caller_identity.cc
+++ b/src/pearbarrow/tenants/caller_identity.cc
@@ -25,7 +25,7 @@
 
 identity identify(const tenant_table& table, const directory::route& route,
                   const credentials& presented) {
-    if (!table.is_needed()) {
+    if (!table.requires_keys()) {
         return {};
     }
     const directory::tenant* holder =
--- a/src/pearbarrow/tenants/quota_client.cc
+++ b/src/pearbarrow/tenants/quota_client.cc
@@ -15,7 +15,7 @@
             return "granted";
         case quota_verdict::over_limit:
             return "over_limit";
-        case quota_verdict::unanswered:
+        case quota_verdict::no_reply:
             return "quota_unanswered";
     }
     return "unknown";
@@ -24,7 +24,7 @@
 /// A request that is sent to one member after another until one grants it.
 class quota_client::pending_request final : public turns::turn_operation {
   public:
-    pending_request(quota_client& client, quota_question request,
+    pending_request(quota_client& client, grant_request request,
                     std::function<void(const quota_decision&)> done)
         : client(client),
           request(std::move(request)),
@@ -47,7 +47,7 @@
         ++this->tried;
         this->call = this->client.caller.call(
             member, this->client.options.method, wire::encode(this->request),
-            this->client.options.patience,
+            this->client.options.call_timeout,
             [this, node = member.node](const absl::StatusOr<std::string>& payload) {
                 this->on_reply(node, payload);
             });
@@ -61,7 +61,7 @@
             this->schedule_next();
             return;
         }
-        this->decision.answer = *reply;
+        this->decision.reply = *reply;
         this->decision.member = node.value();
         switch (reply->outcome) {
             case quota_outcome::granted:
@@ -93,13 +93,13 @@
 
     void finish() {
         const quota_client_options& limits = this->client.options;
-        this->decision.retry_after = std::clamp(this->decision.retry_after,
-                                                limits.least_retry_after, limits.most_retry_after);
+        this->decision.retry_after =
+            std::clamp(this->decision.retry_after, limits.min_retry_after, limits.max_retry_after);
         this->done(this->decision);
     }
 
     quota_client& client;
-    quota_question request;
+    grant_request request;
     std::vector<directory::storage_member> members;
     std::size_t tried = 0;
     std::function<void(const quota_decision&)> done;
@@ -114,8 +114,8 @@
 
 quota_client::~quota_client() = default;
 
-std::unique_ptr<turns::turn_operation> quota_client::ask(
-    quota_question request, std::function<void(const quota_decision&)> done) {
+std::unique_ptr<turns::turn_operation> quota_client::request_grant(
+    grant_request request, std::function<void(const quota_decision&)> done) {
     auto pending_request =
         std::make_unique<quota_client::pending_request>(*this, std::move(request), std::move(done));
     pending_request->start();
@@ -124,7 +124,7 @@
 
 /// Each program always starts with the same member, so that this member knows which programs are
 /// in progress. Members that timed out recently come last.
-std::vector<directory::storage_member> quota_client::member_order(const quota_question& request) {
+std::vector<directory::storage_member> quota_client::member_order(const grant_request& request) {
     auto members = quota_members(this->view, request.tenant);
     if (members.empty()) {
         return members;
--- a/src/pearbarrow/tenants/quota_ledger.cc
+++ b/src/pearbarrow/tenants/quota_ledger.cc
@@ -75,8 +75,8 @@
         tenant_share.rate =
             tenant_share.sustained_rate + (window > 0 ? tenant.burst / member_count / window : 0);
         tenant_share.capacity =
-            std::max(tenant.burst / member_count + this->options.extra +
-                         tenant_share.sustained_rate * window * this->options.held_part,
+            std::max(tenant.burst / member_count + this->options.extra_tokens +
+                         tenant_share.sustained_rate * window * this->options.window_rate_fraction,
                      1.0);
         tenant_share.tokens = std::min(tenant_share.tokens, tenant_share.capacity);
         tenant_share.refilled_at = now;
@@ -102,7 +102,7 @@
     const double allowed =
         (responsible_seconds < window
              ? tenant_share.sustained_rate * responsible_seconds + this->options.initial_tokens
-             : tenant_share.rate * window + this->options.extra);
+             : tenant_share.rate * window + this->options.extra_tokens);
     const auto span = this->options.window + this->options.grant_lifetime;
     return allowed - tenant_share.recent.count_within(span, now);
 }
@@ -113,7 +113,7 @@
     });
 }
 
-bool quota_ledger::is_in_progress(const share& tenant_share, const quota_question& request) const {
+bool quota_ledger::is_in_progress(const share& tenant_share, const grant_request& request) const {
     return request.continues ||
            (request.program != 0 && tenant_share.programs.count(request.program) > 0);
 }
@@ -121,7 +121,7 @@
 /// A new program leaves a part of the share to programs in progress. A request that belongs to no
 /// program may use the whole share.
 double quota_ledger::min_tokens_left(const share& tenant_share,
-                                     const quota_question& request) const {
+                                     const grant_request& request) const {
     if (request.program == 0 || this->is_in_progress(tenant_share, request)) {
         return 0;
     }
@@ -132,7 +132,7 @@
     return static_cast<std::uint32_t>(std::ceil(missing / tenant_share.rate * 1'000));
 }
 
-grant_reply quota_ledger::take(const quota_question& request, base::instant now) {
+grant_reply quota_ledger::try_acquire(const grant_request& request, base::instant now) {
     grant_reply reply{.config = this->config.version};
     const auto found = this->shares.find(request.tenant);
     if (found == this->shares.end()) {
--- a/src/pearbarrow/tenants/quota_ledger.h
+++ b/src/pearbarrow/tenants/quota_ledger.h
@@ -28,7 +28,7 @@
     /// Tokens that a share holds beyond its part of the burst, since a tenant with few requests per
     /// second sends them in bursts. Three members with 4 each use 12 of a slack of 20 requests per
     /// window.
-    double extra = 4;
+    double extra_tokens = 4;
     /// How many of the extra tokens a member has when it becomes responsible for a tenant.
     double initial_tokens = 1;
     /// Length of the windows in which the operator counts requests. Each window allows the rate
@@ -39,7 +39,7 @@
     /// bursts. Together with trying all members before a refusal, it lowers the refused requests of
     /// a normal day from 0.040 to 0.021. With twice this fraction, a tenant that sends a burst just
     /// before all members are killed exceeds its limit by what they grant after their restart.
-    double held_part = 0.2;
+    double window_rate_fraction = 0.2;
     /// How long after it was issued a grant of the previous window may be used.
     base::milliseconds grant_lifetime{200};
     /// Fraction of a share that is reserved for programs in progress. A program that is refused
@@ -55,7 +55,7 @@
 
     void set_view(const directory::storage_view& view, base::instant now);
     void set_configuration(const directory::configuration& config, base::instant now);
-    grant_reply take(const quota_question& request, base::instant now);
+    grant_reply try_acquire(const grant_request& request, base::instant now);
 
     std::size_t tenant_count() const { return this->shares.size(); }
     std::size_t program_count() const;
@@ -85,9 +85,9 @@
     /// Requests that the current window still allows.
     double window_remaining(share& tenant_share, base::instant now) const;
     void erase_idle_programs(share& tenant_share, base::instant now) const;
-    bool is_in_progress(const share& tenant_share, const quota_question& request) const;
+    bool is_in_progress(const share& tenant_share, const grant_request& request) const;
     /// Tokens that must be left in the share after the request is granted.
-    double min_tokens_left(const share& tenant_share, const quota_question& request) const;
+    double min_tokens_left(const share& tenant_share, const grant_request& request) const;
     static std::uint32_t retry_after_for(const share& tenant_share, double missing);
 
     quota_options options;
--- a/src/pearbarrow/tenants/quota_service.cc
+++ b/src/pearbarrow/tenants/quota_service.cc
@@ -10,12 +10,12 @@
                              net::method_number method)
     : clock(clock), book(std::move(options)) {
     rpc.register_method(method, [this](std::string_view payload, auto responder) {
-        const auto request = wire::decode<quota_question>(payload);
+        const auto request = wire::decode<grant_request>(payload);
         if (!request.ok()) {
             responder->fail(request.status());
             return;
         }
-        responder->finish(wire::encode(this->book.take(*request, this->clock.now())));
+        responder->finish(wire::encode(this->book.try_acquire(*request, this->clock.now())));
     });
 }
 
--- a/src/pearbarrow/tenants/quota_types.h
+++ b/src/pearbarrow/tenants/quota_types.h
@@ -9,7 +9,7 @@
 namespace pearbarrow::tenants {
 
 /// Requests a grant to send one request of the tenant.
-struct quota_question {
+struct grant_request {
     std::string tenant;
     /// Identifies the program within the tenant. 0 if the request belongs to no program.
     std::uint64_t program = 0;
--- a/src/pearbarrow/tenants/tenant_table.h
+++ b/src/pearbarrow/tenants/tenant_table.h
@@ -12,8 +12,8 @@
 namespace pearbarrow::tenants {
 
 /// A key that is configured for two tenants. It identifies the first of them.
-struct shared_key {
-    std::string holder;
+struct duplicate_key {
+    std::string owner;
     std::string other;
 };
 
@@ -23,13 +23,13 @@
     explicit tenant_table(const directory::configuration& config);
 
     /// Returns whether requests need a key.
-    bool is_needed() const { return this->keys_required; }
+    bool requires_keys() const { return this->keys_required; }
     /// Returns the tenant of the key, or null if there is none. Valid while the table exists.
     const directory::tenant* find(std::string_view key) const;
     const directory::tenant* find_by_digest(std::string_view digest) const;
     /// Returns the tenant of that name, or null if there is none. Valid while the table exists.
     const directory::tenant* find_by_name(const std::string& name) const;
-    const std::vector<shared_key>& shared_keys() const { return this->duplicates; }
+    const std::vector<duplicate_key>& duplicate_keys() const { return this->duplicates; }
 
   private:
     bool keys_required = false;
@@ -38,7 +38,7 @@
     std::unordered_multimap<std::uint64_t, std::size_t> by_prefix;
     /// Indices in `tenants` by name.
     std::unordered_map<std::string, std::size_t> by_name;
-    std::vector<shared_key> duplicates;
+    std::vector<duplicate_key> duplicates;
 };
 
 }  // namespace pearbarrow::tenants
--- a/src/pearbarrow/turns/group_views.h
+++ b/src/pearbarrow/turns/group_views.h
@@ -21,7 +21,7 @@
     bool record_newer(std::uint32_t group, const directory::storage_view& reported);
 
     /// Returns the view as published by the directory.
-    const directory::storage_view& whole() const { return this->view; }
+    const directory::storage_view& directory_view() const { return this->view; }
     std::uint32_t groups() const { return this->view.groups; }
     std::uint32_t group_of(const base::program_id& program) const;
     /// Returns the newest known view of the group.
--- a/src/pearbarrow/turns/board_exchange.cc
+++ b/src/pearbarrow/turns/load_report_exchange.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/turns/board_exchange.h"
+#include "pearbarrow/turns/load_report_exchange.h"
 
 #include <algorithm>
 #include <tuple>
@@ -11,8 +11,10 @@
 
 namespace pearbarrow::turns {
 
-board_exchange::board_exchange(net::event_loop& loop, net::peer_rpc& rpc, const base::clock& clock,
-                               dispatch::load_board& load_table, board_exchange_options options)
+load_report_exchange::load_report_exchange(net::event_loop& loop, net::peer_rpc& rpc,
+                                           const base::clock& clock,
+                                           dispatch::load_table& load_table,
+                                           load_report_exchange_options options)
     : loop(loop), rpc(rpc), clock(clock), load_table(load_table), options(std::move(options)) {
     this->rpc.register_method(wire::load_pull, [this](std::string_view payload, auto responder) {
         this->on_poll_request(payload, std::move(responder));
@@ -20,11 +22,11 @@
     this->load_table.on_report([this] { this->reply_to_pending(); });
 }
 
-board_exchange::~board_exchange() {
+load_report_exchange::~load_report_exchange() {
     this->load_table.on_report(nullptr);
 }
 
-void board_exchange::set_view(const directory::storage_view& view) {
+void load_report_exchange::set_view(const directory::storage_view& view) {
     const directory::storage_member* self = view.find(this->options.self);
     const std::uint32_t groups = self == nullptr ? 0 : view.groups;
     std::erase_if(this->group_polls, [&](const auto& entry) {
@@ -48,7 +50,7 @@
 
 /// Sorts members of the own zone first. The hash order differs between polling members, which
 /// spreads them over the sources.
-std::vector<directory::storage_member> board_exchange::sources_of(
+std::vector<directory::storage_member> load_report_exchange::sources_of(
     const directory::storage_view& view, std::uint32_t group) const {
     std::vector<directory::storage_member> sources = members_of(view, group).members;
     const auto rank = [this](const directory::storage_member& member) {
@@ -61,7 +63,7 @@
     return sources;
 }
 
-void board_exchange::poll(std::uint32_t group) {
+void load_report_exchange::poll(std::uint32_t group) {
     group_poll& poll_state = this->group_polls.at(group);
     poll_state.next_poll.reset();
     if (poll_state.sources.empty()) {
@@ -74,19 +76,19 @@
                                     .after = poll_state.through};
     poll_state.call = this->rpc.call(
         source.node, source.address, wire::load_pull, wire::encode(message),
-        this->options.hold + this->options.answer_slack,
+        this->options.long_poll_timeout + this->options.reply_slack,
         {.on_part = nullptr, .on_done = [this, group](const absl::StatusOr<std::string>& payload) {
              this->on_poll_reply(group, payload);
          }});
 }
 
-void board_exchange::schedule_poll(std::uint32_t group, base::milliseconds delay) {
+void load_report_exchange::schedule_poll(std::uint32_t group, base::milliseconds delay) {
     this->group_polls.at(group).next_poll =
         this->loop.after(delay, [this, group] { this->poll(group); });
 }
 
-void board_exchange::on_poll_reply(std::uint32_t group,
-                                   const absl::StatusOr<std::string>& payload) {
+void load_report_exchange::on_poll_reply(std::uint32_t group,
+                                         const absl::StatusOr<std::string>& payload) {
     group_poll& poll_state = this->group_polls.at(group);
     auto reply = payload.ok() ? wire::decode<load_pull_reply>(*payload)
                               : absl::StatusOr<load_pull_reply>(payload.status());
@@ -99,54 +101,54 @@
         }
         poll_state.current = (poll_state.current + 1) % poll_state.sources.size();
         poll_state.incarnation = 0;
-        this->schedule_poll(group, this->options.retry);
+        this->schedule_poll(group, this->options.retry_interval);
         return;
     }
     poll_state.is_connected = true;
     poll_state.incarnation = reply->incarnation;
     poll_state.through = reply->through;
     for (const dispatch::load_report& report : reply->reports) {
-        this->load_table.take_passed_on(report, this->clock.now());
+        this->load_table.apply_forwarded_report(report, this->clock.now());
     }
-    this->schedule_poll(group, this->options.pause);
+    this->schedule_poll(group, this->options.poll_interval);
 }
 
-void board_exchange::on_poll_request(std::string_view payload,
-                                     std::shared_ptr<net::peer_responder> responder) {
+void load_report_exchange::on_poll_request(std::string_view payload,
+                                           std::shared_ptr<net::peer_responder> responder) {
     const auto request = wire::decode<load_pull_request>(payload);
     if (!request.ok()) {
         responder->fail(request.status());
         return;
     }
     pending_poll pending;
-    pending.after = request->incarnation == this->options.life ? request->after : 0;
+    pending.after = request->incarnation == this->options.incarnation ? request->after : 0;
     pending.responder = std::move(responder);
     if (this->load_table.last_report() > pending.after) {
         this->reply_to(pending);
         return;
     }
     const auto position = this->pending_polls.insert(this->pending_polls.end(), std::move(pending));
-    position->timeout = this->loop.after(this->options.hold, [this, position] {
+    position->timeout = this->loop.after(this->options.long_poll_timeout, [this, position] {
         this->reply_to(*position);
         this->pending_polls.erase(position);
     });
 }
 
-void board_exchange::reply_to(const pending_poll& pending) {
+void load_report_exchange::reply_to(const pending_poll& pending) {
     pending.responder->finish(
-        wire::encode(load_pull_reply{.incarnation = this->options.life,
+        wire::encode(load_pull_reply{.incarnation = this->options.incarnation,
                                      .through = this->load_table.last_report(),
                                      .reports = this->load_table.reports_after(pending.after)}));
 }
 
-void board_exchange::reply_to_pending() {
+void load_report_exchange::reply_to_pending() {
     for (const pending_poll& pending : this->pending_polls) {
         this->reply_to(pending);
     }
     this->pending_polls.clear();
 }
 
-std::size_t board_exchange::connected_groups() const {
+std::size_t load_report_exchange::connected_groups() const {
     return static_cast<std::size_t>(
         std::count_if(this->group_polls.begin(), this->group_polls.end(),
                       [](const auto& entry) { return entry.second.is_connected; }));
--- a/src/pearbarrow/turns/board_exchange.h
+++ b/src/pearbarrow/turns/load_report_exchange.h
@@ -20,36 +20,36 @@
 
 #include "pearbarrow/base/clock.h"
 #include "pearbarrow/directory/snapshot.h"
-#include "pearbarrow/dispatch/load_board.h"
+#include "pearbarrow/dispatch/load_table.h"
 #include "pearbarrow/net/event_loop.h"
 #include "pearbarrow/net/peer_rpc.h"
 #include "pearbarrow/turns/turn_types.h"
 
 namespace pearbarrow::turns {
 
-struct board_exchange_options {
+struct load_report_exchange_options {
     base::node_id self;
     std::string zone;
     /// Identifies this process lifetime; random and never 0.
-    std::uint64_t life = 1;
+    std::uint64_t incarnation = 1;
     /// Delay between a reply and the next poll. It bounds the age that the exchange adds to a
     /// report.
-    base::milliseconds pause{100};
+    base::milliseconds poll_interval{100};
     /// Time after which a poll without new reports gets an empty reply.
-    base::milliseconds hold{2'000};
+    base::milliseconds long_poll_timeout{2'000};
     /// Time that a reply may take beyond `hold` before another member is polled.
-    base::milliseconds answer_slack{500};
+    base::milliseconds reply_slack{500};
     /// Delay before the next poll after a failed one.
-    base::milliseconds retry{200};
+    base::milliseconds retry_interval{200};
 };
 
-class board_exchange {
+class load_report_exchange {
   public:
-    board_exchange(net::event_loop& loop, net::peer_rpc& rpc, const base::clock& clock,
-                   dispatch::load_board& load_table, board_exchange_options options);
-    ~board_exchange();
-    board_exchange(const board_exchange&) = delete;
-    board_exchange& operator=(const board_exchange&) = delete;
+    load_report_exchange(net::event_loop& loop, net::peer_rpc& rpc, const base::clock& clock,
+                         dispatch::load_table& load_table, load_report_exchange_options options);
+    ~load_report_exchange();
+    load_report_exchange(const load_report_exchange&) = delete;
+    load_report_exchange& operator=(const load_report_exchange&) = delete;
 
     /// Must be called with each view of the whole fleet.
     void set_view(const directory::storage_view& view);
@@ -89,8 +89,8 @@
     net::event_loop& loop;
     net::peer_rpc& rpc;
     const base::clock& clock;
-    dispatch::load_board& load_table;
-    board_exchange_options options;
+    dispatch::load_table& load_table;
+    load_report_exchange_options options;
     std::map<std::uint32_t, group_poll> group_polls;
     std::list<pending_poll> pending_polls;
 };
--- a/src/pearbarrow/turns/relaying_caller.cc
+++ b/src/pearbarrow/turns/relaying_caller.cc
@@ -41,11 +41,11 @@
             {.on_part = nullptr, .on_done = [this](const absl::StatusOr<std::string>& reply) {
                  this->on_direct_reply(reply);
              }});
-        if (this->owner.is_cut(this->member.group)) {
+        if (this->owner.lacks_majority(this->member.group)) {
             this->relay();
         } else {
             this->relay_timer = this->owner.loop.after(this->owner.options.silence_timeout, [this] {
-                if (this->owner.is_cut(this->member.group)) {
+                if (this->owner.lacks_majority(this->member.group)) {
                     this->relay();
                 }
             });
@@ -76,7 +76,7 @@
             this->end(reply);
             return;
         }
-        if (this->owner.is_cut(this->member.group)) {
+        if (this->owner.lacks_majority(this->member.group)) {
             this->relay();
         }
         if (!this->relay_in_flight) {
@@ -122,7 +122,7 @@
             return;
         }
         this->relay_timer = this->owner.loop.after(this->owner.options.relay_backoff, [this] {
-            if (this->owner.is_cut(this->member.group)) {
+            if (this->owner.lacks_majority(this->member.group)) {
                 this->relay();
             }
         });
@@ -186,7 +186,7 @@
            now - *state.unanswered_since < this->options.silence_timeout;
 }
 
-bool relaying_caller::is_cut(std::uint32_t group) const {
+bool relaying_caller::lacks_majority(std::uint32_t group) const {
     const base::instant now = this->clock.now();
     std::size_t members = 0;
     std::size_t responsive = 0;
@@ -200,9 +200,9 @@
     return members > 0 && responsive < members / 2 + 1;
 }
 
-bool relaying_caller::is_cut() const {
+bool relaying_caller::lacks_majority() const {
     for (std::uint32_t group = 0; group < this->groups; ++group) {
-        if (this->is_cut(group)) {
+        if (this->lacks_majority(group)) {
             return true;
         }
     }
@@ -232,9 +232,9 @@
         return;
     }
     const std::uint32_t group = found->second.group;
-    const bool was_cut = this->is_cut(group);
+    const bool was_cut = this->lacks_majority(group);
     found->second.unanswered_since.reset();
-    if (was_cut && !this->is_cut(group)) {
+    if (was_cut && !this->lacks_majority(group)) {
         base::log(base::log_level::info, "storage_reached_again",
                   {{"group", group}, {"relayed_calls", this->relayed}});
     }
--- a/src/pearbarrow/turns/relaying_caller.h
+++ b/src/pearbarrow/turns/relaying_caller.h
@@ -46,8 +46,8 @@
         const directory::storage_member& member, net::method_number method, std::string payload,
         base::milliseconds timeout, reply_handler on_reply) override;
     /// Returns whether less than a majority of some group's members responds.
-    bool is_cut() const;
-    bool is_cut(std::uint32_t group) const;
+    bool lacks_majority() const;
+    bool lacks_majority(std::uint32_t group) const;
     std::uint64_t relayed_calls() const { return this->relayed; }
 
   private:
--- a/src/pearbarrow/turns/followed_preparation.cc
+++ b/src/pearbarrow/turns/restarting_preparation.cc
@@ -1,14 +1,14 @@
-#include "pearbarrow/turns/followed_preparation.h"
+#include "pearbarrow/turns/restarting_preparation.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace pearbarrow::turns {
 
-followed_preparation::followed_preparation(net::event_loop& loop, const base::clock& clock,
-                                           member_caller& caller, const client_options& options,
-                                           group_views& views, turn_request request,
-                                           std::function<void(prepared_turn)> done)
+restarting_preparation::restarting_preparation(net::event_loop& loop, const base::clock& clock,
+                                               member_caller& caller, const client_options& options,
+                                               group_views& views, turn_request request,
+                                               std::function<void(prepared_turn)> done)
     : loop(loop),
       clock(clock),
       caller(caller),
@@ -18,7 +18,7 @@
       done(std::move(done)),
       deadline(clock.now() + options.reserve_timeout) {}
 
-void followed_preparation::start() {
+void restarting_preparation::start() {
     const auto left =
         std::chrono::duration_cast<base::milliseconds>(this->deadline - this->clock.now());
     this->options.reserve_timeout = std::max(left, base::milliseconds{0});
@@ -32,7 +32,7 @@
 
 /// The restart is deferred because this runs inside a callback of the attempt. If the member could
 /// not name the newer voters, the restart also waits until the directory may have delivered them.
-void followed_preparation::on_outdated(bool names_voters) {
+void restarting_preparation::on_outdated(bool names_voters) {
     const base::milliseconds delay =
         names_voters ? base::milliseconds{0} : this->options.retry_interval;
     this->restart = this->loop.after(delay, [this] { this->start(); });
--- a/src/pearbarrow/turns/followed_preparation.h
+++ b/src/pearbarrow/turns/restarting_preparation.h
@@ -11,11 +11,11 @@
 
 /// A repeated reservation has no effect at members that already have it. All attempts together are
 /// bounded by the timeout of one preparation.
-class followed_preparation final : public turn_operation {
+class restarting_preparation final : public turn_operation {
   public:
-    followed_preparation(net::event_loop& loop, const base::clock& clock, member_caller& caller,
-                         const client_options& options, group_views& views, turn_request request,
-                         std::function<void(prepared_turn)> done);
+    restarting_preparation(net::event_loop& loop, const base::clock& clock, member_caller& caller,
+                           const client_options& options, group_views& views, turn_request request,
+                           std::function<void(prepared_turn)> done);
 
     void start();
 
--- a/src/pearbarrow/turns/turn_admission.cc
+++ b/src/pearbarrow/turns/turn_admission.cc
@@ -31,13 +31,13 @@
         if (wait.has_value() && *wait > max_wait) {
             this->retry_after =
                 std::clamp(std::chrono::duration_cast<base::milliseconds>(*wait - max_wait),
-                           options.least_retry_after, options.most_retry_after);
+                           options.min_retry_after, options.max_retry_after);
             this->timeout =
                 this->owner.loop.after(base::milliseconds{0}, [this] { this->reject(); });
             return;
         }
-        this->retry_after = options.least_retry_after;
-        this->timeout = this->owner.loop.after(options.longest_wait, [this] { this->reject(); });
+        this->retry_after = options.min_retry_after;
+        this->timeout = this->owner.loop.after(options.max_queue_time, [this] { this->reject(); });
     }
 
     void begin() {
@@ -50,15 +50,15 @@
                               [this](prepared_turn prepared) { this->on_prepared(prepared); });
     }
 
-    bool may_be_in_time(base::instant now) const { return this->request.aim > now; }
+    bool may_be_in_time(base::instant now) const { return this->request.deadline > now; }
 
   private:
     enum class stages { waiting, preparing, finished };
 
     void on_prepared(prepared_turn& prepared) {
         this->stage = stages::finished;
-        prepared.was_asked = true;
-        prepared.waited = this->started_at - this->arrived_at;
+        prepared.was_sent = true;
+        prepared.queue_time = this->started_at - this->arrived_at;
         this->owner.preparations.end(this->started_at,
                                      prepared.outcome != turn_outcome::unavailable,
                                      this->owner.clock.now());
@@ -71,10 +71,10 @@
     /// Rejects the turn without sending any request to the members.
     void reject() {
         this->leave();
-        ++this->owner.turned_away_count;
+        ++this->owner.rejected_count;
         prepared_turn result;
         result.outcome = turn_outcome::overloaded;
-        result.waited = this->owner.clock.now() - this->arrived_at;
+        result.queue_time = this->owner.clock.now() - this->arrived_at;
         result.retry_after = this->retry_after;
         const auto callback = std::exchange(this->done, nullptr);
         callback(std::move(result));
@@ -148,7 +148,7 @@
         this->overloaded_until = now + this->options.overload_memory;
     }
     return now < this->overloaded_until ? this->options.max_queue_time_when_overloaded
-                                        : this->options.longest_wait;
+                                        : this->options.max_queue_time;
 }
 
 /// Returns the first turn whose program can still meet its deadline, or the first turn if there is
--- a/src/pearbarrow/turns/turn_admission.h
+++ b/src/pearbarrow/turns/turn_admission.h
@@ -39,7 +39,7 @@
 
     std::size_t waiting() const { return this->queue.size(); }
     std::size_t window() const { return this->preparations.size(); }
-    std::uint64_t turned_away() const { return this->turned_away_count; }
+    std::uint64_t rejected() const { return this->rejected_count; }
 
   private:
     friend class queued_turn;
@@ -58,7 +58,7 @@
     /// Time since which the queue has been non-empty.
     std::optional<base::instant> queue_nonempty_since;
     base::instant overloaded_until{};
-    std::uint64_t turned_away_count = 0;
+    std::uint64_t rejected_count = 0;
 };
 
 }  // namespace pearbarrow::turns
--- a/src/pearbarrow/turns/turn_catch_up.cc
+++ b/src/pearbarrow/turns/turn_catch_up.cc
@@ -191,7 +191,7 @@
     return found != others_.end() && found->second.is_caught_up;
 }
 
-std::size_t turn_replica::behind_count() const {
+std::size_t turn_replica::lagging_members() const {
     return static_cast<std::size_t>(
         std::count_if(others_.begin(), others_.end(),
                       [](const auto& entry) { return !entry.second.is_caught_up; }));
--- a/src/pearbarrow/turns/turn_client.cc
+++ b/src/pearbarrow/turns/turn_client.cc
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "pearbarrow/base/status.h"
-#include "pearbarrow/turns/followed_preparation.h"
 #include "pearbarrow/turns/majority_write.h"
+#include "pearbarrow/turns/restarting_preparation.h"
 
 namespace pearbarrow::turns {
 namespace {
@@ -75,8 +75,8 @@
         return found->second;
     }
     const auto begin = [this](turn_request request, auto done) -> std::unique_ptr<turn_operation> {
-        auto step = std::make_unique<followed_preparation>(loop_, clock_, caller_, options_, views_,
-                                                           std::move(request), std::move(done));
+        auto step = std::make_unique<restarting_preparation>(
+            loop_, clock_, caller_, options_, views_, std::move(request), std::move(done));
         step->start();
         return step;
     };
@@ -92,7 +92,7 @@
     for (const auto& [group, queue] : queues_) {
         counts.waiting += queue.waiting();
         counts.window += queue.window();
-        counts.turned_away += queue.turned_away();
+        counts.rejected += queue.rejected();
     }
     return counts;
 }
--- a/src/pearbarrow/turns/turn_client.h
+++ b/src/pearbarrow/turns/turn_client.h
@@ -30,7 +30,7 @@
     std::size_t waiting = 0;
     /// Maximum number of turns that are prepared concurrently.
     std::size_t window = 0;
-    std::uint64_t turned_away = 0;
+    std::uint64_t rejected = 0;
 };
 
 class turn_client {
--- a/src/pearbarrow/turns/turn_index.h
+++ b/src/pearbarrow/turns/turn_index.h
@@ -23,7 +23,7 @@
     /// Added to each turn's own retention so that no turn expires early.
     base::seconds retention_slack{15};
     /// A program's reservations are kept this long after its last change, unless
-    /// `keep_reservations_for` sets another time.
+    /// `set_reservation_retention` sets another time.
     base::seconds reservation_retention{600};
 };
 
@@ -63,7 +63,7 @@
 
     /// Sets the retention of reservations: programs that were idle for longer are never requested
     /// again. Programs that are already stored keep their earlier expiry.
-    void keep_reservations_for(base::seconds time) { options_.reservation_retention = time; }
+    void set_reservation_retention(base::seconds time) { options_.reservation_retention = time; }
     /// Removes expired entries and returns the matching change for the store.
     store_change expire(base::instant now);
     std::size_t turn_count() const { return turns_.size(); }
--- a/src/pearbarrow/turns/turn_operation.h
+++ b/src/pearbarrow/turns/turn_operation.h
@@ -18,7 +18,7 @@
     window_options window;
     /// Maximum time that a turn is queued before its preparation begins. Together with the timeout
     /// of the preparation it is below the shortest timeout that callers give a turn.
-    base::milliseconds longest_wait{1'000};
+    base::milliseconds max_queue_time{1'000};
     /// Maximum queue time once the queue has been non-empty for `overload_threshold`. More turns
     /// then arrive than the members can handle, and a queue as long as a program's slack would make
     /// every program late.
@@ -27,8 +27,8 @@
     /// Time for which the reduced limit stays in effect.
     base::milliseconds overload_memory{1'000};
     /// Bounds of the retry delay returned with a rejected turn.
-    base::milliseconds least_retry_after{100};
-    base::milliseconds most_retry_after{1'000};
+    base::milliseconds min_retry_after{100};
+    base::milliseconds max_retry_after{1'000};
 };
 
 struct client_options {
@@ -56,7 +56,7 @@
     /// The turn that this one continues; empty if there is none or the prompt is complete.
     turn_id previous;
     /// Deadline of the turn's program.
-    base::instant aim = base::instant::max();
+    base::instant deadline = base::instant::max();
 };
 
 /// Result of the preparation of a turn.
@@ -79,17 +79,17 @@
     std::string chain_text;
     /// The turns of the chain, if another replica group stores them. They are stored together with
     /// the new turn, so that the program's own group has its whole chain.
-    std::vector<turn_record> copied;
+    std::vector<turn_record> copied_records;
     /// Tokens of the program's other turns, for logs.
     std::uint64_t other_tokens = 0;
     /// The back end that executed the previous turn; 0 if unknown.
-    dispatch::backend_key earlier_backend = 0;
+    dispatch::backend_key previous_backend = 0;
     std::size_t members_answered = 0;
     std::uint64_t view_revision = 0;
     /// Whether reservations were sent to the members.
-    bool was_asked = false;
+    bool was_sent = false;
     /// Time spent in the queue before the preparation began.
-    base::microseconds waited{0};
+    base::microseconds queue_time{0};
     /// Retry delay of a rejected turn; 0 if unknown.
     base::milliseconds retry_after{0};
 };
--- a/src/pearbarrow/turns/turn_preparation.cc
+++ b/src/pearbarrow/turns/turn_preparation.cc
@@ -103,7 +103,7 @@
     member.confirmed_complete = reply->is_complete;
     known_.add(reply->reservations);
     if (options_.loads != nullptr) {
-        options_.loads->take(reply->load);
+        options_.loads->apply_totals(reply->load);
     }
     if (with_chain) {
         on_chain_result(member, reply->is_complete, reply->chain, std::move(reply->chain_text));
@@ -318,9 +318,9 @@
     chain_timer_.reset();
     prepared_turn result{.outcome = outcome,
                          .chain_text = std::move(chain_).value_or(std::string()),
-                         .copied = std::move(copied_),
+                         .copied_records = std::move(copied_),
                          .other_tokens = known_.total_without(request_.wanted.turn),
-                         .earlier_backend = known_.backend_of(request_.previous),
+                         .previous_backend = known_.backend_of(request_.previous),
                          .members_answered = count(&member_state::confirmed),
                          .view_revision = view_revision_};
     done(std::move(result));
--- a/src/pearbarrow/turns/turn_replica.cc
+++ b/src/pearbarrow/turns/turn_replica.cc
@@ -199,12 +199,12 @@
 }
 
 dispatch::load_totals turn_replica::totals_for(const dispatch::load_report& report) {
-    return report.wants_totals ? load_table_.totals_without(report.node, clock_.now())
+    return report.wants_totals ? load_table_.totals_excluding(report.node, clock_.now())
                                : dispatch::load_totals{};
 }
 
 void turn_replica::reserve(const reserve_request& request, responder_ptr responder) {
-    load_table_.take(request.load, clock_.now());
+    load_table_.apply_report(request.load, clock_.now());
     if (rejects(request.view)) {
         responder->finish(wire::encode(reserve_reply{.newer = newer_view()}));
         return;
@@ -278,7 +278,7 @@
 }
 
 void turn_replica::finish(finish_request request, responder_ptr responder) {
-    load_table_.take(request.load, clock_.now());
+    load_table_.apply_report(request.load, clock_.now());
     if (rejects(request.view)) {
         responder->finish(wire::encode(finish_reply{.newer = newer_view()}));
         return;
--- a/src/pearbarrow/turns/turn_replica.h
+++ b/src/pearbarrow/turns/turn_replica.h
@@ -22,7 +22,7 @@
 
 #include "pearbarrow/base/clock.h"
 #include "pearbarrow/directory/snapshot.h"
-#include "pearbarrow/dispatch/load_board.h"
+#include "pearbarrow/dispatch/load_table.h"
 #include "pearbarrow/net/event_loop.h"
 #include "pearbarrow/net/peer_rpc.h"
 #include "pearbarrow/turns/turn_index.h"
@@ -66,11 +66,11 @@
     /// Returns the replica group whose data the disk holds; empty if it has entered no group yet.
     std::optional<std::uint32_t> group() const { return group_; }
     /// Returns the load table that forwarding nodes report to.
-    dispatch::load_board& board() { return load_table_; }
+    dispatch::load_table& load_table() { return load_table_; }
     /// Sets how long the reservations of an idle program are kept.
-    void keep_reservations_for(base::seconds time) {
+    void set_reservation_retention(base::seconds time) {
         options_.index.reservation_retention = time;
-        index_.keep_reservations_for(time);
+        index_.set_reservation_retention(time);
     }
     /// Sets a callback that runs when the member becomes complete.
     void on_complete(std::function<void()> callback) { on_complete_ = std::move(callback); }
@@ -89,7 +89,7 @@
     /// Returns the number of forwarding nodes whose load is known.
     std::size_t reporting_nodes() const { return load_table_.node_count(); }
     /// Returns the number of other members that this one is not caught up with.
-    std::size_t behind_count() const;
+    std::size_t lagging_members() const;
     /// Returns whether a voter of the group may leave (`view_settlement`).
     bool is_settled() const { return settlement_.is_settled(); }
     /// Lists the other members more often until the voters are settled.
@@ -179,7 +179,7 @@
     replica_options options_;
     turn_index index_;
     /// Loads that forwarding nodes have reported.
-    dispatch::load_board load_table_;
+    dispatch::load_table load_table_;
     disk_id disk_;
     /// View of the member's own group.
     directory::storage_view view_;
--- a/src/pearbarrow/wire/membership_messages.h
+++ b/src/pearbarrow/wire/membership_messages.h
@@ -93,9 +93,9 @@
     /// `sync_digest`: a hash for each bucket of the member table.
     std::vector<std::uint64_t> digests;
     /// `sync_digest`: whether the receiver should reply with its own digest if they differ.
-    bool wants_answer = false;
+    bool wants_reply = false;
     MSGPACK_DEFINE(protocol, cluster, kind, sequence, from, from_generation, config_version, target,
-                   records, accusations, reports, digests, wants_answer);
+                   records, accusations, reports, digests, wants_reply);
 };
 
 }  // namespace pearbarrow::wire
--- a/src/pearbarrow/wire/methods.h
+++ b/src/pearbarrow/wire/methods.h
@@ -51,7 +51,7 @@
 /// Parts of the list of back ends, fetched from a peer whose list differs.
 inline constexpr method_number directory_parts = 81;
 /// A poll of the directory service through a peer, called by a node that the service rejects.
-inline constexpr method_number directory_look = 82;
+inline constexpr method_number directory_poll = 82;
 
 /// Storage of turns, called by edges and by other storage members.
 inline constexpr method_number turn_reserve = 90;
--- a/src/pearbarrow/wire/placement_messages.h
+++ b/src/pearbarrow/wire/placement_messages.h
@@ -64,21 +64,21 @@
     /// 0 for a program, 1 for its sub-program, and so on.
     std::uint32_t depth = 0;
     /// Other sub-programs of the same parent that are in progress.
-    std::uint32_t siblings_under_way = 0;
+    std::uint32_t siblings_in_progress = 0;
     /// Engines on which earlier attempts at this call have failed.
-    std::vector<base::backend_id> avoid;
+    std::vector<base::backend_id> excluded_engines;
 
     MSGPACK_DEFINE(attempt, program, tenant, call, owner, program_class, model, tool, labels,
                    prompt_tokens, max_output_tokens, prefixes, deadline_ms, waited_ms, last_engine,
                    history_tokens, attained_tokens, program_age_ms, calls_done, depth,
-                   siblings_under_way, avoid);
+                   siblings_in_progress, excluded_engines);
 };
 
-enum class placement_answer : std::uint8_t { granted = 0, refused = 1 };
+enum class placement_outcome : std::uint8_t { granted = 0, refused = 1 };
 
 /// The only reply to an offer.
 struct placement_reply {
-    placement_answer answer = placement_answer::refused;
+    placement_outcome answer = placement_outcome::refused;
     base::attempt_id attempt;
 
     /// Set when granted. The engine to call, and the number of the grant at this dispatcher.
@@ -169,5 +169,5 @@
 
 }  // namespace pearbarrow::wire
 
-MSGPACK_ADD_ENUM(pearbarrow::wire::placement_answer);
+MSGPACK_ADD_ENUM(pearbarrow::wire::placement_outcome);
 MSGPACK_ADD_ENUM(pearbarrow::wire::attempt_outcome);
--- a/tests/unit/base/status_test.cc
+++ b/tests/unit/base/status_test.cc
@@ -22,8 +22,8 @@
 Test(status, first_step_is_kept) {
     const auto inner =
         make_error(absl::StatusCode::kInternal, "x", {.step = "read", .peer = "disk"});
-    cr_assert(details_of(at_step(inner, "outer", "node")).step == "read");
-    const auto plain = at_step(absl::InternalError("y"), "outer", "node");
+    cr_assert(details_of(with_step(inner, "outer", "node")).step == "read");
+    const auto plain = with_step(absl::InternalError("y"), "outer", "node");
     cr_assert(details_of(plain).step == "outer");
     cr_assert(details_of(plain).peer == "node");
 }
--- a/tests/unit/directory/backend_index_test.cc
+++ b/tests/unit/directory/backend_index_test.cc
@@ -40,7 +40,7 @@
 
 /// Sends `receiver` what it lacks. Returns the size of the message in bytes.
 std::size_t send_update(const directory_state& sender, directory_state& receiver) {
-    const std::string bytes = wire::encode(sender.newer_than(receiver.versions()));
+    const std::string bytes = wire::encode(sender.update_since(receiver.versions()));
     receiver.apply(*wire::decode<directory_update>(bytes));
     return bytes.size();
 }
--- a/tests/unit/directory/directory_state_test.cc
+++ b/tests/unit/directory/directory_state_test.cc
@@ -43,9 +43,9 @@
     update.config.push_back({.version = 4, .routes = {route_of("r", "h", "/")}});
     update.storage.push_back({.revision = 7, .members = {{.node = base::node_id("s")}}});
     state.apply(update);
-    const auto missing = state.newer_than({.config = 4});
+    const auto missing = state.update_since({.config = 4});
     cr_assert(missing.config.empty() && missing.storage.size() == 1);
-    const auto copy = wire::decode<directory_update>(wire::encode(state.newer_than({})));
+    const auto copy = wire::decode<directory_update>(wire::encode(state.update_since({})));
     cr_assert(copy.ok());
     cr_assert(copy->config.front().routes.front().services.front().service == "service");
     cr_assert(copy->storage.front().find(base::node_id("s")) != nullptr);
@@ -57,7 +57,7 @@
     update.retirements.push_back({.revision = 5, .nodes = {base::node_id("store-1")}});
     cr_assert(sender.apply(update).retirements);
     directory_state receiver;
-    const auto copy = wire::decode<directory_update>(wire::encode(sender.newer_than({})));
+    const auto copy = wire::decode<directory_update>(wire::encode(sender.update_since({})));
     cr_assert(receiver.apply(*copy).retirements);
     cr_assert(receiver.current().retirements->nodes.front() == base::node_id("store-1"));
     update.retirements.front().revision = 6;
@@ -76,7 +76,7 @@
     update.emptied_zones.push_back({.revision = 5, .zones = {{.zone = "north", .since = 4}}});
     cr_assert(sender.apply(update).emptied_zones);
     directory_state receiver;
-    const auto copy = wire::decode<directory_update>(wire::encode(sender.newer_than({})));
+    const auto copy = wire::decode<directory_update>(wire::encode(sender.update_since({})));
     cr_assert(receiver.apply(*copy).emptied_zones);
     cr_assert(receiver.current().emptied_zones->zones.front().zone == "north");
     cr_assert(receiver.versions().emptied_zones == 5);
@@ -146,7 +146,7 @@
     peer.apply(entry_at(10, 8, 500));
     const directory_versions known = peer.versions();
     peer.apply(entry_at(11, 9, 1'000));
-    const directory_update steps = peer.newer_than(known);
+    const directory_update steps = peer.update_since(known);
     cr_assert(steps.backend_steps.size() == 1);
 
     directory_state state;
--- a/tests/unit/fleet/places_test.cc
+++ b/tests/unit/fleet/zone_rules_test.cc
@@ -276,7 +276,7 @@
     cr_assert(run_until(fleet.loop, [&] {
         return complete.current().config.has_value() && complete.current().backends.has_value();
     }));
-    directory::directory_update partial = complete.newer_than({});
+    directory::directory_update partial = complete.update_since({});
     partial.emptied_zones.clear();
     fleet.edges[1]->node.parts().directory().publish(partial);
     cr_assert(!fleet.edges[1]->node.is_ready());
