--- a/tests/unit/forward/backend_runs_test.cc
+++ b/tests/unit/forward/backend_incarnations_test.cc
@@ -44,8 +44,8 @@
     }
     void end(const directory::backend& target, attempt_result result,
              milliseconds took = milliseconds{1}) {
-        pool.on_response_head(target.run(), now);
-        pool.on_attempt_ended(target.run(), result, took, now);
+        pool.on_response_head(target.incarnation(), now);
+        pool.on_attempt_ended(target.incarnation(), result, took, now);
     }
     std::uint32_t in_flight() const {
         const auto loads = pool.own_loads(now);
@@ -116,7 +116,7 @@
     fixture.restart();
     fixture.send();
     fixture.now += milliseconds{5'000};
-    fixture.pool.on_response_head(before.run(), started_at);
+    fixture.pool.on_response_head(before.incarnation(), started_at);
     cr_assert(fixture.share_of(10) == 0, "the current incarnation has not responded");
 }
 
@@ -127,17 +127,18 @@
     }
     fixture.end(fixture.send(), attempt_result::served, milliseconds{4'000});
     const auto before = fixture.send();
-    fixture.pool.record_event(before.run(), milliseconds{400}, fixture.now);
+    fixture.pool.record_event(before.incarnation(), milliseconds{400}, fixture.now);
     cr_assert(fixture.pool.failing_count(fixture.now) == 1);
     fixture.restart();
     cr_assert(fixture.pool.failing_count(fixture.now) == 0);
-    const auto usual = fixture.pool.patience(incarnation_of("none", 0).run(), milliseconds{100});
-    cr_assert(fixture.pool.patience(incarnation_of("again", second_start).run(),
+    const auto usual =
+        fixture.pool.patience(incarnation_of("none", 0).incarnation(), milliseconds{100});
+    cr_assert(fixture.pool.patience(incarnation_of("again", second_start).incarnation(),
                                     milliseconds{100}) == usual);
-    fixture.pool.record_event(before.run(), milliseconds{400}, fixture.now);
+    fixture.pool.record_event(before.incarnation(), milliseconds{400}, fixture.now);
     fixture.end(before, attempt_result::served, milliseconds{4'000});
     fixture.send();
-    cr_assert(fixture.pool.own_loads(fixture.now).front().pace_us == 0);
+    cr_assert(fixture.pool.own_loads(fixture.now).front().event_interval_us == 0);
 }
 
 Test(backend_runs, remote_load_of_previous_incarnation_is_ignored) {
@@ -147,7 +148,8 @@
     fixture.send();
     auto reported = fixture.pool.own_loads(fixture.now).front();
     reported.requests = 50;
-    load.take({.is_given = true, .gathered_ms = 5'000, .loads = {reported}}, fixture.now);
+    load.apply_totals({.is_present = true, .collection_time_ms = 5'000, .loads = {reported}},
+                      fixture.now);
     cr_assert(fixture.share_of(10) == 0);
     fixture.restart();
     cr_assert(fixture.share_of(10) > 0);
@@ -210,8 +212,9 @@
     fixture.end(before, attempt_result::served, milliseconds{8'000});
     fixture.end(after, attempt_result::abandoned);
     cr_assert(fixture.in_flight() == 0);
-    const auto usual = fixture.pool.patience(incarnation_of("none", 0).run(), milliseconds{100});
-    cr_assert(fixture.pool.patience(after.run(), milliseconds{100}) == usual);
+    const auto usual =
+        fixture.pool.patience(incarnation_of("none", 0).incarnation(), milliseconds{100});
+    cr_assert(fixture.pool.patience(after.incarnation(), milliseconds{100}) == usual);
 }
 
 Test(backend_runs, updated_entry_of_same_incarnation_keeps_state) {
--- a/tests/unit/forward/backend_pool_test.cc
+++ b/tests/unit/forward/backend_pool_test.cc
@@ -71,7 +71,7 @@
 Test(backend_pool, rejecting_back_end_is_in_backoff_but_better_than_none) {
     pool_fixture fixture({backend_of("1"), backend_of("2")});
     const std::string refusing = fixture.choose();
-    fixture.pool.on_attempt_ended(directory::backend_run(refusing), attempt_result::refused,
+    fixture.pool.on_attempt_ended(directory::backend_incarnation(refusing), attempt_result::refused,
                                   milliseconds{1}, fixture.now);
     for (int index = 0; index < 5; ++index) {
         cr_assert(fixture.choose() != refusing);
@@ -87,7 +87,7 @@
     fixture.pool.set_backends({.revision = 2, .backends = {}}, fixture.now);
     fixture.now += milliseconds{1'800};
     cr_assert(fixture.choose().empty());
-    fixture.pool.on_attempt_ended(directory::backend_run(first), attempt_result::served,
+    fixture.pool.on_attempt_ended(directory::backend_incarnation(first), attempt_result::served,
                                   milliseconds{1}, fixture.now);
     cr_assert(fixture.pool.backend_count("service") == 0);
 }
@@ -100,10 +100,11 @@
     for (int index = 0; index < 5; ++index) {
         cr_assert(fixture.choose() != silent_backend);
         fixture.now += milliseconds{100};
-        fixture.pool.on_response_head(directory::backend_run(silent_backend == "1" ? "2" : "1"),
-                                      fixture.now - milliseconds{100});
+        fixture.pool.on_response_head(
+            directory::backend_incarnation(silent_backend == "1" ? "2" : "1"),
+            fixture.now - milliseconds{100});
     }
-    fixture.pool.on_response_head(directory::backend_run(silent_backend), started_at);
+    fixture.pool.on_response_head(directory::backend_incarnation(silent_backend), started_at);
     cr_assert(fixture.choose() == silent_backend, "it has responded and has the lowest load");
 }
 
@@ -124,8 +125,8 @@
     fixture.pool.set_backends(list_of({}, 2), fixture.now);
     const std::string first = fixture.choose();
     cr_assert(!first.empty(), "an empty list may be caused by an outage");
-    fixture.pool.on_response_head(directory::backend_run(first), fixture.now);
-    fixture.pool.on_attempt_ended(directory::backend_run(first), attempt_result::served,
+    fixture.pool.on_response_head(directory::backend_incarnation(first), fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_incarnation(first), attempt_result::served,
                                   milliseconds{1}, fixture.now);
     fixture.now += milliseconds{1'000};
     fixture.pool.set_backends(list_of({"1"}, 3), fixture.now);
@@ -165,8 +166,8 @@
     for (int index = 0; index < 3; ++index) {
         cr_assert(fixture.pool.choose(
             {.service = "service", .affinity_key = {}, .excluded = {"good"}}, fixture.now));
-        fixture.pool.on_response_head(directory::backend_run("bad"), fixture.now);
-        fixture.pool.on_attempt_ended(directory::backend_run("bad"), attempt_result::failed,
+        fixture.pool.on_response_head(directory::backend_incarnation("bad"), fixture.now);
+        fixture.pool.on_attempt_ended(directory::backend_incarnation("bad"), attempt_result::failed,
                                       milliseconds{1}, fixture.now);
     }
     cr_assert(fixture.pool.failing_count(fixture.now) == 1);
@@ -174,9 +175,9 @@
     for (int index = 0; index < 100; ++index) {
         const std::string chosen = fixture.choose();
         trials += chosen == "bad" ? 1 : 0;
-        fixture.pool.on_response_head(directory::backend_run(chosen), fixture.now);
-        fixture.pool.on_attempt_ended(directory::backend_run(chosen), attempt_result::abandoned,
-                                      milliseconds{1}, fixture.now);
+        fixture.pool.on_response_head(directory::backend_incarnation(chosen), fixture.now);
+        fixture.pool.on_attempt_ended(directory::backend_incarnation(chosen),
+                                      attempt_result::abandoned, milliseconds{1}, fixture.now);
     }
     cr_assert(trials < 20, "an idle back end that fails immediately must not attract requests");
     fixture.now += milliseconds{3'000};
@@ -187,9 +188,9 @@
     pool_fixture fixture({backend_of("bad"), backend_of("good")});
     dispatch::shared_load others({});
     fixture.pool.set_shared_load(others);
-    others.take(
-        {.is_given = true,
-         .gathered_ms = 1'000,
+    others.apply_totals(
+        {.is_present = true,
+         .collection_time_ms = 1'000,
          .loads =
              {{.backend = dispatch::key_of("bad"), .requests = 0, .served = 300, .failed = 300}}},
         fixture.now);
@@ -206,11 +207,12 @@
     cr_assert(chosen.has_value());
     const base::instant started_at = node.now;
     node.now += silence;
-    cr_assert(node.pool.is_long_silence(chosen->target.run(), silence) ==
+    cr_assert(node.pool.is_long_silence(chosen->target.incarnation(), silence) ==
               (result != attempt_result::abandoned));
-    node.pool.on_response_head(chosen->target.run(), started_at);
-    node.pool.on_attempt_ended(chosen->target.run(), result, silence, node.now);
-    return {.is_given = true, .gathered_ms = 1'000, .loads = node.pool.own_loads(node.now)};
+    node.pool.on_response_head(chosen->target.incarnation(), started_at);
+    node.pool.on_attempt_ended(chosen->target.incarnation(), result, silence, node.now);
+    return {
+        .is_present = true, .collection_time_ms = 1'000, .loads = node.pool.own_loads(node.now)};
 }
 
 /// Returns how many of 100 requests of a program go to `dead`, which executed its previous turn.
@@ -218,7 +220,7 @@
     pool_fixture node({backend_of("dead"), backend_of("good")});
     dispatch::shared_load others({});
     node.pool.set_shared_load(others);
-    others.take(reported, node.now);
+    others.apply_totals(reported, node.now);
     int count = 0;
     for (int index = 0; index < 100; ++index) {
         auto chosen = node.pool.choose({.service = "service",
@@ -258,9 +260,9 @@
     pool_fixture fixture({backend_of("dead"), backend_of("good")});
     const auto chosen = fixture.pool.choose(
         {.service = "service", .affinity_key = {}, .excluded = {"good"}}, fixture.now);
-    fixture.pool.on_response_head(chosen->target.run(), fixture.now);
-    fixture.pool.on_attempt_ended(chosen->target.run(), attempt_result::not_there, milliseconds{1},
-                                  fixture.now);
+    fixture.pool.on_response_head(chosen->target.incarnation(), fixture.now);
+    fixture.pool.on_attempt_ended(chosen->target.incarnation(), attempt_result::not_there,
+                                  milliseconds{1}, fixture.now);
     fixture.now += milliseconds{3'600};
     for (int index = 0; index < 12; ++index) {
         cr_assert(fixture.choose() == "good");
@@ -276,10 +278,10 @@
     pool_fixture fixture({backend_of("busy"), backend_of("idle")});
     dispatch::shared_load others({});
     fixture.pool.set_shared_load(others);
-    others.take({.is_given = true,
-                 .gathered_ms = 1'000,
-                 .loads = {{.backend = dispatch::key_of("busy"), .requests = 5}}},
-                fixture.now);
+    others.apply_totals({.is_present = true,
+                         .collection_time_ms = 1'000,
+                         .loads = {{.backend = dispatch::key_of("busy"), .requests = 5}}},
+                        fixture.now);
     for (int index = 0; index < 5; ++index) {
         cr_assert(fixture.choose() == "idle");
     }
@@ -287,9 +289,10 @@
 
 Test(backend_pool, slow_back_end_gets_fewer_requests) {
     pool_fixture fixture({backend_of("slow"), backend_of("1"), backend_of("2")});
-    fixture.pool.record_event(directory::backend_run("slow"), milliseconds{100}, fixture.now);
-    fixture.pool.record_event(directory::backend_run("1"), milliseconds{20}, fixture.now);
-    fixture.pool.record_event(directory::backend_run("2"), milliseconds{20}, fixture.now);
+    fixture.pool.record_event(directory::backend_incarnation("slow"), milliseconds{100},
+                              fixture.now);
+    fixture.pool.record_event(directory::backend_incarnation("1"), milliseconds{20}, fixture.now);
+    fixture.pool.record_event(directory::backend_incarnation("2"), milliseconds{20}, fixture.now);
     std::map<std::string, int> taken;
     for (int index = 0; index < 22; ++index) {
         ++taken[fixture.choose()];
@@ -321,9 +324,9 @@
                              .excluded = {}},
                             now);
             ++used[chosen->target.id];
-            pool.on_response_head(chosen->target.run(), now);
-            pool.on_attempt_ended(chosen->target.run(), attempt_result::served, milliseconds{1},
-                                  now);
+            pool.on_response_head(chosen->target.incarnation(), now);
+            pool.on_attempt_ended(chosen->target.incarnation(), attempt_result::served,
+                                  milliseconds{1}, now);
         }
         return used;
     }
@@ -354,7 +357,7 @@
     std::set<std::string> used;
     for (int index = 0; index < 200; ++index) {
         const std::string id = fixture.choose("program-" + std::to_string(index));
-        fixture.pool.on_attempt_ended(directory::backend_run(id), attempt_result::served,
+        fixture.pool.on_attempt_ended(directory::backend_incarnation(id), attempt_result::served,
                                       milliseconds{1}, fixture.now);
         used.insert(id);
     }
@@ -426,7 +429,7 @@
             node.pool.choose({.service = "service", .affinity_key = "", .excluded = {}}, node.now);
         cr_assert(chosen->target.zone == "a", "the next of its own zone");
         cr_assert(failed.insert(chosen->target.id).second, "a failed back end is in backoff");
-        node.pool.on_attempt_ended(chosen->target.run(), attempt_result::unreachable,
+        node.pool.on_attempt_ended(chosen->target.incarnation(), attempt_result::unreachable,
                                    milliseconds{1}, node.now);
     }
 }
@@ -482,7 +485,7 @@
     fixture.now += milliseconds{1'000};
     const auto second = fixture.pool.choose({.service = "service"}, fixture.now);
     cr_assert(second->candidates == 2);
-    fixture.pool.on_response_head(second->target.run(), fixture.now);
+    fixture.pool.on_response_head(second->target.incarnation(), fixture.now);
     fixture.now += milliseconds{3'000};
     cr_assert(fixture.pool.choose({.service = "service"}, fixture.now)->candidates == 1,
               "a slow warm back end is skipped");
@@ -493,13 +496,13 @@
     fixture.now += milliseconds{10'000};
     cr_assert(!fixture.cold.is_cold("c", fixture.now));
     fixture.pool.choose({.service = "service", .excluded = {"w"}}, fixture.now);
-    fixture.pool.on_response_head(directory::backend_run("c"), fixture.now);
-    fixture.pool.on_attempt_ended(directory::backend_run("c"), attempt_result::unreachable,
+    fixture.pool.on_response_head(directory::backend_incarnation("c"), fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_incarnation("c"), attempt_result::unreachable,
                                   milliseconds{0}, fixture.now);
     fixture.now += milliseconds{10'000};
     fixture.pool.choose({.service = "service", .excluded = {"w"}}, fixture.now);
-    fixture.pool.on_response_head(directory::backend_run("c"), fixture.now);
-    fixture.pool.on_attempt_ended(directory::backend_run("c"), attempt_result::served,
+    fixture.pool.on_response_head(directory::backend_incarnation("c"), fixture.now);
+    fixture.pool.on_attempt_ended(directory::backend_incarnation("c"), attempt_result::served,
                                   milliseconds{5}, fixture.now);
     cr_assert(fixture.cold.is_cold("c", fixture.now + milliseconds{2'999}));
     cr_assert(!fixture.cold.is_cold("c", fixture.now + milliseconds{3'000}));
@@ -507,7 +510,7 @@
 
 Test(backend_pool, slots_of_mostly_cold_service_are_limited_by_its_rate) {
     cold_fixture fixture;
-    fixture.pool.record_service_time(directory::backend_run("w"), milliseconds{50});
+    fixture.pool.record_service_time(directory::backend_incarnation("w"), milliseconds{50});
     cr_assert(fixture.pool.load_of("service", fixture.now).slots == 8, "one of two is cold");
     directory::backend_list list{.revision = 2,
                                  .backends = {{"c", backend_of("c")}, {"d", backend_of("d")}}};
--- a/tests/unit/forward/cold_return_simulation_test.cc
+++ b/tests/unit/forward/cold_return_simulation_test.cc
@@ -9,7 +9,7 @@
 
 #include "pearbarrow/base/hash.h"
 #include "pearbarrow/base/random.h"
-#include "pearbarrow/dispatch/load_board.h"
+#include "pearbarrow/dispatch/load_table.h"
 #include "pearbarrow/emulator/engine_model.h"
 #include "pearbarrow/forward/backend_pool.h"
 #include "pearbarrow/slowstart/cold_table.h"
@@ -56,7 +56,7 @@
     int tried = 0;
     int sent_ms = 0;
     std::size_t engine = 0;
-    directory::backend_run run{""};
+    directory::backend_incarnation incarnation{""};
 };
 
 struct engine_state {
@@ -68,7 +68,7 @@
 };
 
 struct edge_state {
-    dispatch::shared_load elsewhere{{}};
+    dispatch::shared_load remote_load{{}};
     slowstart::cold_table cold;
     std::unique_ptr<backend_pool> pool;
 };
@@ -96,7 +96,7 @@
             edge->cold.set_backends(this->list, this->instant() - milliseconds{60'000});
             edge->pool = std::make_unique<backend_pool>(
                 pool_options{.node = "n" + std::to_string(index), .zone = "b"}, this->random);
-            edge->pool->set_shared_load(edge->elsewhere);
+            edge->pool->set_shared_load(edge->remote_load);
             edge->pool->set_backends(this->list, this->instant());
             if (asks_permits) {
                 edge->pool->set_cold_table(edge->cold);
@@ -201,10 +201,11 @@
     }
 
     bool is_permitted(const std::string& id) {
-        auto order = tenants::quota_members(this->view, slowstart::limit_name(id));
+        auto order = tenants::quota_members(this->view, slowstart::permit_limit_name(id));
         return std::any_of(order.begin(), order.end(), [&](const auto& member) {
             return this->members[member.node]
-                       ->take({.tenant = slowstart::limit_name(id), .program = 1}, this->instant())
+                       ->try_acquire({.tenant = slowstart::permit_limit_name(id), .program = 1},
+                                     this->instant())
                        .outcome == tenants::quota_outcome::granted;
         });
     }
@@ -216,9 +217,9 @@
         one.sent_ms = this->now_ms;
         while (chosen.has_value() && chosen->cold.has_value() &&
                !this->is_permitted(chosen->target.id)) {
-            pool.on_response_head(chosen->target.run(), this->instant());
-            pool.on_attempt_ended(chosen->target.run(), attempt_result::abandoned, milliseconds{0},
-                                  this->instant());
+            pool.on_response_head(chosen->target.incarnation(), this->instant());
+            pool.on_attempt_ended(chosen->target.incarnation(), attempt_result::abandoned,
+                                  milliseconds{0}, this->instant());
             wanted.without_permit.insert(chosen->target.id);
             chosen = pool.choose(wanted, this->instant());
         }
@@ -226,7 +227,7 @@
             this->again(one);
             return;
         }
-        one.run = chosen->target.run();
+        one.incarnation = chosen->target.incarnation();
         one.engine = std::stoul(chosen->target.id.substr(1));
         engine_state& engine = this->engines[one.engine];
         if (engine.down_until_ms > this->now_ms) {
@@ -299,8 +300,8 @@
 
     void end(const request& one, attempt_result result) {
         backend_pool& pool = *this->edges[one.edge]->pool;
-        pool.on_response_head(one.run, this->at(one.sent_ms));
-        pool.on_attempt_ended(one.run, result, milliseconds{this->now_ms - one.sent_ms},
+        pool.on_response_head(one.incarnation, this->at(one.sent_ms));
+        pool.on_attempt_ended(one.incarnation, result, milliseconds{this->now_ms - one.sent_ms},
                               this->instant());
     }
 
@@ -328,17 +329,17 @@
     }
 
     void tell_loads() {
-        dispatch::load_board board({}, this->instant() - milliseconds{5'000});
+        dispatch::load_table table({}, this->instant() - milliseconds{5'000});
         for (std::size_t index = 0; index < edge_count; ++index) {
-            board.take({.node = base::node_id("n" + std::to_string(index)),
-                        .life = 1,
-                        .number = 1,
-                        .loads = this->edges[index]->pool->own_loads(this->instant())},
-                       this->instant());
+            table.apply_report({.node = base::node_id("n" + std::to_string(index)),
+                                .incarnation = 1,
+                                .number = 1,
+                                .loads = this->edges[index]->pool->own_loads(this->instant())},
+                               this->instant());
         }
         for (std::size_t index = 0; index < edge_count; ++index) {
-            this->edges[index]->elsewhere.take(
-                board.totals_without(base::node_id("n" + std::to_string(index)), this->instant()),
+            this->edges[index]->remote_load.apply_totals(
+                table.totals_excluding(base::node_id("n" + std::to_string(index)), this->instant()),
                 this->instant());
         }
     }
--- a/tests/unit/forward/cost_policy_test.cc
+++ b/tests/unit/forward/cost_policy_test.cc
@@ -3,8 +3,8 @@
 #include <vector>
 
 #include "pearbarrow/forward/choice_policy.h"
-#include "pearbarrow/forward/reading_pace.h"
-#include "pearbarrow/forward/way_times.h"
+#include "pearbarrow/forward/prefill_rate_estimate.h"
+#include "pearbarrow/forward/round_trip_estimates.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/unit/forward/forward_service_test.cc
+++ b/tests/unit/forward/forward_service_test.cc
@@ -84,7 +84,7 @@
     counting_caller caller;
     std::unique_ptr<turns::turn_client> turns =
         std::make_unique<turns::turn_client>(loop, clock, caller, turns::client_options{});
-    std::unique_ptr<program_gate> gate = make_open_gate();
+    std::unique_ptr<program_admission> admission = make_unlimited_admission();
     tenants::quota_client quotas{loop, clock, caller, {}};
     forward_context context{.loop = loop,
                             .clock = clock,
@@ -93,7 +93,7 @@
                             .pool = pool,
                             .turns = *turns,
                             .quotas = quotas,
-                            .gate = *gate,
+                            .admission = *admission,
                             .log = log,
                             .options = {.headers = names()},
                             .active = nullptr};
--- a/tests/unit/forward/forwarded_permit_test.cc
+++ b/tests/unit/forward/forwarded_permit_test.cc
@@ -90,7 +90,7 @@
 class scripted_permits final : public slowstart::permit_source {
   public:
     explicit scripted_permits(net::event_loop& loop) : loop(loop) {}
-    std::unique_ptr<turns::turn_operation> ask(
+    std::unique_ptr<turns::turn_operation> request_permit(
         const slowstart::cold_start& target,
         std::function<void(const slowstart::permit_decision&)> done) override {
         this->asked.push_back(target.backend);
@@ -219,7 +219,7 @@
     backend_pool pool{{}, random};
     willing_members members{loop};
     turns::turn_client turns{loop, clock, members, turns::client_options{}};
-    std::unique_ptr<program_gate> gate = make_open_gate();
+    std::unique_ptr<program_admission> admission = make_unlimited_admission();
     tenants::quota_client quotas{loop, clock, members, {}};
     scripted_permits permits{loop};
     forward_context context{.loop = loop,
@@ -229,7 +229,7 @@
                             .pool = pool,
                             .turns = turns,
                             .quotas = quotas,
-                            .gate = *gate,
+                            .admission = *admission,
                             .log = log,
                             .options = {.headers = names()},
                             .active = nullptr};
--- a/tests/unit/forward/overload_simulation_test.cc
+++ b/tests/unit/forward/overload_simulation_test.cc
@@ -7,11 +7,11 @@
 
 #include "pearbarrow/base/hash.h"
 #include "pearbarrow/base/random.h"
-#include "pearbarrow/dispatch/load_board.h"
+#include "pearbarrow/dispatch/load_table.h"
 #include "pearbarrow/emulator/engine_model.h"
 #include "pearbarrow/forward/backend_pool.h"
 #include "pearbarrow/forward/engine_priority.h"
-#include "pearbarrow/forward/program_gate.h"
+#include "pearbarrow/forward/program_admission.h"
 
 #include <criterion/criterion.h>
 
@@ -48,8 +48,8 @@
 
 struct policy {
     admission_kind kind = admission_kind::learning;
-    bool tells_priority = true;
-    admission_options gate;
+    bool sends_priority = true;
+    admission_options admission;
 };
 
 struct program {
@@ -89,9 +89,9 @@
             auto& edge = this->edges.emplace_back(std::make_unique<edge_state>());
             edge->pool = std::make_unique<backend_pool>(
                 pool_options{.node = "n" + std::to_string(index), .zone = "a"}, this->random);
-            edge->pool->set_shared_load(edge->elsewhere);
+            edge->pool->set_shared_load(edge->remote_load);
             edge->pool->set_backends(this->backends, this->instant());
-            edge->gate = this->make_gate();
+            edge->admission = this->make_admission();
         }
     }
 
@@ -133,21 +133,21 @@
 
   private:
     struct edge_state {
-        dispatch::shared_load elsewhere{{}};
+        dispatch::shared_load remote_load{{}};
         std::unique_ptr<backend_pool> pool;
-        std::unique_ptr<program_gate> gate;
+        std::unique_ptr<program_admission> admission;
     };
 
-    std::unique_ptr<program_gate> make_gate() {
+    std::unique_ptr<program_admission> make_admission() {
         switch (this->kept.kind) {
             case admission_kind::open:
-                return make_open_gate();
+                return make_unlimited_admission();
             case admission_kind::fullness:
-                return make_fullness_admission(this->kept.gate, this->random);
+                return make_fullness_admission(this->kept.admission, this->random);
             case admission_kind::learning:
                 break;
         }
-        return make_learning_gate(this->kept.gate, this->random);
+        return make_adaptive_admission(this->kept.admission, this->random);
     }
 
     base::instant instant() const { return base::instant(milliseconds{this->now_ms + 1'000}); }
@@ -189,7 +189,7 @@
         edge_state& edge = *this->edges[one.edge];
         const base::instant now = this->instant();
         if (one.turn == 0) {
-            const auto wait = edge.gate->judge(edge.pool->load_of("model", now), now);
+            const auto wait = edge.admission->check(edge.pool->load_of("model", now), now);
             if (wait.has_value()) {
                 this->fail_turn(one, static_cast<int>(wait->count()) +
                                          static_cast<int>(this->random.below(500)));
@@ -211,7 +211,7 @@
         request.prompt_tokens = shared_tokens + turn_tokens * (turn + 1) + answer_tokens * turn;
         request.output_tokens = answer_tokens;
         request.blocks = this->blocks_of(one, request.prompt_tokens + answer_tokens);
-        request.priority = this->kept.tells_priority
+        request.priority = this->kept.sends_priority
                                ? static_cast<std::int32_t>(engine_priority(
                                      {.is_first = one.turn == 0, .is_late = this->is_late(one)}))
                                : 5;
@@ -229,8 +229,8 @@
         backend_pool& pool = *this->edges[one.edge]->pool;
         const std::string id = "e" + std::to_string(one.engine);
         const base::instant sent = base::instant(milliseconds{one.sent_ms + 1'000});
-        pool.on_response_head(directory::backend_run(id), sent);
-        pool.on_attempt_ended(directory::backend_run(id), result,
+        pool.on_response_head(directory::backend_incarnation(id), sent);
+        pool.on_attempt_ended(directory::backend_incarnation(id), result,
                               milliseconds{this->now_ms - one.sent_ms}, this->instant());
     }
 
@@ -252,7 +252,7 @@
                 const auto found = this->open.find(progress.attempt.value());
                 if (progress.first == 1 && found != this->open.end()) {
                     const program& one = this->programs[found->second];
-                    this->edges[one.edge]->gate->record_turn(
+                    this->edges[one.edge]->admission->record_turn(
                         this->now_ms - one.sent_ms <= objective_ms, this->instant());
                 }
                 if (progress.ended && found != this->open.end()) {
@@ -267,7 +267,7 @@
     void end_turn(program& one) {
         const auto gap = milliseconds{this->now_ms - one.sent_ms} / answer_tokens * 12;
         this->edges[one.edge]->pool->record_event(
-            directory::backend_run("e" + std::to_string(one.engine)), gap, this->instant());
+            directory::backend_incarnation("e" + std::to_string(one.engine)), gap, this->instant());
         this->end_attempt(one, attempt_result::served);
         one.tries = 0;
         if (++one.turn < turns_of_program) {
@@ -298,17 +298,17 @@
 
     /// Shares the load of all edges with each edge.
     void tell_loads() {
-        dispatch::load_board board({}, this->instant() - milliseconds{5'000});
+        dispatch::load_table table({}, this->instant() - milliseconds{5'000});
         for (std::size_t index = 0; index < edge_count; ++index) {
-            board.take({.node = base::node_id("n" + std::to_string(index)),
-                        .life = 1,
-                        .number = 1,
-                        .loads = this->edges[index]->pool->own_loads(this->instant())},
-                       this->instant());
+            table.apply_report({.node = base::node_id("n" + std::to_string(index)),
+                                .incarnation = 1,
+                                .number = 1,
+                                .loads = this->edges[index]->pool->own_loads(this->instant())},
+                               this->instant());
         }
         for (std::size_t index = 0; index < edge_count; ++index) {
-            this->edges[index]->elsewhere.take(
-                board.totals_without(base::node_id("n" + std::to_string(index)), this->instant()),
+            this->edges[index]->remote_load.apply_totals(
+                table.totals_excluding(base::node_id("n" + std::to_string(index)), this->instant()),
                 this->instant());
         }
     }
@@ -370,7 +370,7 @@
 }
 
 Test(overload_simulation, overload_persists_without_admission) {
-    const outcome seen = mean_of({.kind = admission_kind::open, .tells_priority = false});
+    const outcome seen = mean_of({.kind = admission_kind::open, .sends_priority = false});
     cr_assert(seen.before > 0.85, "%.3f before the burst", seen.before);
     cr_assert(seen.after < 0.2, "%.3f after it", seen.after);
 }
--- a/tests/unit/forward/program_gate_test.cc
+++ b/tests/unit/forward/program_admission_test.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/forward/program_gate.h"
+#include "pearbarrow/forward/program_admission.h"
 
 #include "pearbarrow/forward/backend_pool.h"
 #include "pearbarrow/forward/engine_priority.h"
@@ -11,11 +11,11 @@
 namespace {
 
 /// Returns how many of `programs` simultaneous programs are admitted.
-int admitted_count(program_gate& gate, const service_load& load, base::instant now,
+int admitted_count(program_admission& admission, const service_load& load, base::instant now,
                    int programs = 400) {
     int count = 0;
     for (int index = 0; index < programs; ++index) {
-        count += gate.judge(load, now).has_value() ? 0 : 1;
+        count += admission.check(load, now).has_value() ? 0 : 1;
     }
     return count;
 }
@@ -39,47 +39,49 @@
 
 }  // namespace
 
-Test(program_gate, open_admission_admits_all_programs) {
-    const auto gate = make_open_gate();
-    cr_assert(admitted_count(*gate, load_with_fullness(50), {}) == 400);
+Test(program_admission, open_admission_admits_all_programs) {
+    const auto admission = make_unlimited_admission();
+    cr_assert(admitted_count(*admission, load_with_fullness(50), {}) == 400);
 }
 
-Test(program_gate, all_programs_are_admitted_below_lower_bound) {
+Test(program_admission, all_programs_are_admitted_below_lower_bound) {
     base::random_source random(1);
-    const auto gate = make_fullness_admission({}, random);
-    cr_assert(admitted_count(*gate, load_with_fullness(0), {}) == 400);
-    cr_assert(admitted_count(*gate, load_with_fullness(admission_options{}.narrows_at), {}) == 400);
+    const auto admission = make_fullness_admission({}, random);
+    cr_assert(admitted_count(*admission, load_with_fullness(0), {}) == 400);
+    cr_assert(admitted_count(*admission, load_with_fullness(admission_options{}.narrows_at), {}) ==
+              400);
 }
 
-Test(program_gate, all_programs_are_rejected_above_upper_bound) {
+Test(program_admission, all_programs_are_rejected_above_upper_bound) {
     base::random_source random(1);
-    const auto gate = make_fullness_admission({}, random);
-    cr_assert(admitted_count(*gate, load_with_fullness(admission_options{}.closes_at), {}) == 0);
-    cr_assert(admitted_count(*gate, load_with_fullness(9), {}) == 0);
-    cr_assert(gate->judge(load_with_fullness(9), {}) == admission_options{}.retry_after);
+    const auto admission = make_fullness_admission({}, random);
+    cr_assert(admitted_count(*admission, load_with_fullness(admission_options{}.closes_at), {}) ==
+              0);
+    cr_assert(admitted_count(*admission, load_with_fullness(9), {}) == 0);
+    cr_assert(admission->check(load_with_fullness(9), {}) == admission_options{}.retry_after);
 }
 
-Test(program_gate, some_programs_are_admitted_between_bounds) {
+Test(program_admission, some_programs_are_admitted_between_bounds) {
     base::random_source random(1);
     const admission_options options;
-    const auto gate = make_fullness_admission(options, random);
-    const int half =
-        admitted_count(*gate, load_with_fullness((options.narrows_at + options.closes_at) / 2), {});
+    const auto admission = make_fullness_admission(options, random);
+    const int half = admitted_count(
+        *admission, load_with_fullness((options.narrows_at + options.closes_at) / 2), {});
     cr_assert(half > 150 && half < 250, "%d of 400", half);
 }
 
 // After a simultaneous restart no node knows the load, and all callers return.
-Test(program_gate, limited_number_is_admitted_while_load_is_unknown) {
+Test(program_admission, limited_number_is_admitted_while_load_is_unknown) {
     base::random_source random(1);
     const admission_options options;
-    const auto gate = make_fullness_admission(options, random);
+    const auto admission = make_fullness_admission(options, random);
     base::instant now(base::milliseconds{10'000});
-    cr_assert(admitted_count(*gate, {}, now) == static_cast<int>(options.unknown_programs));
+    cr_assert(admitted_count(*admission, {}, now) == static_cast<int>(options.unknown_programs));
     now += options.unknown_span;
-    cr_assert(admitted_count(*gate, {}, now) == static_cast<int>(options.unknown_programs));
+    cr_assert(admitted_count(*admission, {}, now) == static_cast<int>(options.unknown_programs));
 }
 
-Test(program_gate, service_without_back_ends_is_not_full) {
+Test(program_admission, service_without_back_ends_is_not_full) {
     cr_assert(service_load{}.fullness() == 0);
 }
 
@@ -108,9 +110,12 @@
     backend_pool pool({}, random);
     pool.set_backends(engines({8, 8, 8}), {});
     for (int round = 0; round < 100; ++round) {
-        pool.record_event(directory::backend_run("e0"), base::milliseconds{40}, base::instant{});
-        pool.record_event(directory::backend_run("e1"), base::milliseconds{40}, base::instant{});
-        pool.record_event(directory::backend_run("e2"), base::milliseconds{200}, base::instant{});
+        pool.record_event(directory::backend_incarnation("e0"), base::milliseconds{40},
+                          base::instant{});
+        pool.record_event(directory::backend_incarnation("e1"), base::milliseconds{40},
+                          base::instant{});
+        pool.record_event(directory::backend_incarnation("e2"), base::milliseconds{200},
+                          base::instant{});
     }
     const double slots = pool.load_of("model", {}).slots;
     cr_assert(slots > 17 && slots < 18, "%.1f", slots);
@@ -133,25 +138,25 @@
 
 // With a fixed bound, engines that are just full enough to be late remain so for as long as callers
 // return.
-Test(program_gate, adaptive_admission_closes_earlier_while_turns_are_late) {
+Test(program_admission, adaptive_admission_closes_earlier_while_turns_are_late) {
     base::random_source random(1);
     const admission_options options;
-    const auto gate = make_learning_gate(options, random);
+    const auto admission = make_adaptive_admission(options, random);
     base::instant now(base::milliseconds{10'000});
     const double full = options.min_closes_at;
-    const int before = admitted_count(*gate, load_with_fullness(full), now);
+    const int before = admitted_count(*admission, load_with_fullness(full), now);
     cr_assert(before > 200, "%d", before);
     const auto turns = [&](int count, bool in_time) {
         for (int index = 0; index < count; ++index) {
             now += base::milliseconds{50};
-            gate->record_turn(in_time, now);
+            admission->record_turn(in_time, now);
         }
     };
     turns(60, false);
-    cr_assert(admitted_count(*gate, load_with_fullness(full), now) == 0);
-    cr_assert(admitted_count(*gate, load_with_fullness(0.6), now) == 400,
+    cr_assert(admitted_count(*admission, load_with_fullness(full), now) == 0);
+    cr_assert(admitted_count(*admission, load_with_fullness(0.6), now) == 400,
               "engines with spare capacity are never closed");
     turns(400, true);
-    const int after = admitted_count(*gate, load_with_fullness(full), now);
+    const int after = admitted_count(*admission, load_with_fullness(full), now);
     cr_assert(after > 200, "%d: admission reopens", after);
 }
--- a/tests/unit/forward/request_facts_test.cc
+++ b/tests/unit/forward/request_facts_test.cc
@@ -30,7 +30,7 @@
                                   names);
     cr_assert(facts.ok());
     cr_assert(facts->request_id == "r" && facts->host == "h" && facts->deadline_ms == 250U);
-    cr_assert(facts->turn->token_budget == 90 && facts->turn->most_tokens == 20);
+    cr_assert(facts->turn->token_budget == 90 && facts->turn->max_tokens == 20);
     cr_assert(facts->turn->previous_turn == "t");
     cr_assert(facts->prompt_tokens == 10);
 }
--- a/tests/unit/forward/service_backends_test.cc
+++ b/tests/unit/forward/service_backends_test.cc
@@ -175,9 +175,9 @@
         cr_assert(made.has_value());
         used.insert(made->target.id);
         node.now += milliseconds{100};
-        node.pool.on_response_head(made->target.run(), started_at);
-        node.pool.on_attempt_ended(made->target.run(), attempt_result::served, milliseconds{100},
-                                   node.now);
+        node.pool.on_response_head(made->target.incarnation(), started_at);
+        node.pool.on_attempt_ended(made->target.incarnation(), attempt_result::served,
+                                   milliseconds{100}, node.now);
         node.now += milliseconds{900};
     }
     cr_assert(used.size() == 1, "%zu back ends for one request at a time", used.size());
@@ -199,10 +199,10 @@
         cr_assert(made.has_value());
         used.insert(made->target.id);
         node.now += milliseconds{100};
-        node.pool.on_response_head(made->target.run(), started_at);
+        node.pool.on_response_head(made->target.incarnation(), started_at);
         node.pool.on_prompt_read(*made, milliseconds{40}, node.now);
-        node.pool.on_attempt_ended(made->target.run(), attempt_result::served, milliseconds{100},
-                                   node.now);
+        node.pool.on_attempt_ended(made->target.incarnation(), attempt_result::served,
+                                   milliseconds{100}, node.now);
         node.now += milliseconds{900};
     }
     cr_assert(used.size() <= 3, "%zu engines for one program at a time", used.size());
--- a/tests/unit/forward/slow_reader_test.cc
+++ b/tests/unit/forward/slow_reader_test.cc
@@ -51,8 +51,8 @@
 struct slow_reader_fixture {
     /// If `holds_back` is true, the node counts its buffered bytes and applies backpressure.
     explicit slow_reader_fixture(std::size_t bound, bool holds_back = true)
-        : held(std::make_shared<net::held_bytes>(
-              net::held_bytes_options{.bound = bound, .stalled_after = base::milliseconds{200}})) {
+        : buffered(std::make_shared<net::buffered_bytes>(net::buffered_bytes_options{
+              .bound = bound, .stalled_after = base::milliseconds{200}})) {
         this->backend = net::testing::serve(
             this->loop, [this](const std::shared_ptr<net::http_exchange>& exchange) {
                 ++this->runs;
@@ -65,11 +65,11 @@
                      .body = std::string(is_large ? large_answer : 800, 'x')});
             });
         net::http_server_options options;
-        options.held = this->held;
+        options.buffered = this->buffered;
         options.write_timeout = base::milliseconds{3'000};
         options.max_body_bytes = 16 * megabyte;
         if (!holds_back) {
-            this->context.held = nullptr;
+            this->context.buffered = nullptr;
         }
         this->callers = net::testing::serve(
             this->loop,
@@ -111,12 +111,13 @@
     base::random_source random{1};
     base::metrics_registry metrics;
     forward_log log{clock, metrics, {}};
-    std::shared_ptr<net::held_bytes> held;
-    std::unique_ptr<net::http_client> client = net::make_http_client(loop, {.held = this->held});
+    std::shared_ptr<net::buffered_bytes> buffered;
+    std::unique_ptr<net::http_client> client =
+        net::make_http_client(loop, {.buffered = this->buffered});
     backend_pool pool{{}, random};
     turns::testing::counting_caller members;
     turns::turn_client turns{loop, clock, members, {}};
-    std::unique_ptr<program_gate> gate = make_open_gate();
+    std::unique_ptr<program_admission> admission = make_unlimited_admission();
     tenants::quota_client quotas{loop, clock, members, {}};
     forward_context context{.loop = loop,
                             .clock = clock,
@@ -125,11 +126,11 @@
                             .pool = pool,
                             .turns = turns,
                             .quotas = quotas,
-                            .gate = *gate,
+                            .admission = *admission,
                             .log = log,
                             .options = {.headers = names()},
                             .active = nullptr,
-                            .held = held};
+                            .buffered = buffered};
     forward_service service{context};
     std::unique_ptr<net::http_server> backend;
     std::unique_ptr<net::http_server> callers;
@@ -155,7 +156,7 @@
     }
     std::size_t most = 0;
     run_until(node.loop, [&] {
-        most = std::max(most, node.held->total());
+        most = std::max(most, node.buffered->total());
         return most > 2 * node_bound;
     });
     cr_assert(most > 2 * node_bound, "%zu bytes", most);
@@ -175,7 +176,7 @@
     base::milliseconds slowest{0};
     for (int index = 0; index < 50; ++index) {
         slowest = std::max(slowest, node.quick_response());
-        most = std::max(most, node.held->total());
+        most = std::max(most, node.buffered->total());
     }
     cr_assert(most <= node_bound, "%zu bytes held", most);
     cr_assert(most > megabyte, "%zu bytes buffered: there was no load", most);
@@ -202,7 +203,7 @@
     for (raw_client& client : slow) {
         cr_assert(is_whole(client) || client.closed(), "neither complete nor disconnected");
     }
-    cr_assert(node.held->total() == 0, "%zu bytes", node.held->total());
+    cr_assert(node.buffered->total() == 0, "%zu bytes", node.buffered->total());
     const std::string text = node.metrics.text();
     cr_assert(text.find("reason=\"slow_reader\"") != std::string::npos);
     cr_assert(text.find("pearbarrow_forward_held_back_total") != std::string::npos);
@@ -237,8 +238,9 @@
             },
             base::milliseconds{2'000});
     }
-    cr_assert(node.held->total() <= node_bound, "%zu bytes held", node.held->total());
-    cr_assert(run_until(node.loop, [&] { return node.held->of(net::holding::requests) > 0; }));
+    cr_assert(node.buffered->total() <= node_bound, "%zu bytes held", node.buffered->total());
+    cr_assert(
+        run_until(node.loop, [&] { return node.buffered->of(net::buffer_kind::requests) > 0; }));
     const auto refused = std::count_if(clients.begin(), clients.end(),
                                        [](raw_client& client) { return client.has("503"); });
     cr_assert(refused > 0, "the buffers cannot hold all requests");
--- a/tests/unit/forward/zone_load_simulation_test.cc
+++ b/tests/unit/forward/zone_load_simulation_test.cc
@@ -10,7 +10,7 @@
 
 #include "pearbarrow/base/hash.h"
 #include "pearbarrow/base/random.h"
-#include "pearbarrow/dispatch/load_board.h"
+#include "pearbarrow/dispatch/load_table.h"
 #include "pearbarrow/emulator/engine_model.h"
 #include "pearbarrow/forward/backend_pool.h"
 
@@ -110,7 +110,7 @@
             options.node = "n" + std::to_string(index);
             options.zone = zone_name(index % zone_count);
             edge->pool = std::make_unique<backend_pool>(options, this->random);
-            edge->pool->set_shared_load(edge->elsewhere);
+            edge->pool->set_shared_load(edge->remote_load);
             edge->pool->set_backends(this->backends, this->instant());
         }
     }
@@ -168,7 +168,7 @@
 
   private:
     struct edge_state {
-        dispatch::shared_load elsewhere{{}};
+        dispatch::shared_load remote_load{{}};
         std::unique_ptr<backend_pool> pool;
     };
     enum class step { send, arrive, end };
@@ -235,8 +235,8 @@
         one.engine = std::stoul(one.placed->target.id.substr(1));
         one.sent_ms = this->now_ms;
         one.had_event = false;
-        pool.record_connection(one.placed->target.run(), milliseconds{2 * this->way_ms(one)},
-                               this->instant());
+        pool.record_connection(one.placed->target.incarnation(),
+                               milliseconds{2 * this->way_ms(one)}, this->instant());
         if (one.turn == 0 && one.zone < 2) {
             this->first_turns.emplace_back(this->now_ms, one.engine % zone_count >= 2);
         }
@@ -271,8 +271,8 @@
     void end_attempt(program& one, attempt_result result) {
         backend_pool& pool = *this->edges[one.edge]->pool;
         pool.on_prompt_dropped(*one.placed);
-        pool.on_response_head(one.placed->target.run(), this->instant_at(one.sent_ms));
-        pool.on_attempt_ended(one.placed->target.run(), result,
+        pool.on_response_head(one.placed->target.incarnation(), this->instant_at(one.sent_ms));
+        pool.on_attempt_ended(one.placed->target.incarnation(), result,
                               milliseconds{this->now_ms - one.sent_ms}, this->instant());
     }
 
@@ -304,11 +304,11 @@
         backend_pool& pool = *this->edges[one.edge]->pool;
         if (!std::exchange(one.had_event, true)) {
             const int took = this->now_ms + this->way_ms(one) - one.sent_ms;
-            pool.on_response_head(one.placed->target.run(), this->instant_at(one.sent_ms));
+            pool.on_response_head(one.placed->target.incarnation(), this->instant_at(one.sent_ms));
             pool.on_prompt_read(*one.placed, milliseconds{took}, this->instant());
             this->last_event[number] = this->now_ms;
         } else if (token % tokens_of_event == 0) {
-            pool.record_event(one.placed->target.run(),
+            pool.record_event(one.placed->target.incarnation(),
                               milliseconds{this->now_ms - this->last_event[number]},
                               this->instant());
             this->last_event[number] = this->now_ms;
@@ -347,21 +347,21 @@
         std::vector<dispatch::load_report> reports;
         for (std::size_t index = 0; index < edge_count; ++index) {
             reports.push_back({.node = base::node_id("n" + std::to_string(index)),
-                               .life = 1,
+                               .incarnation = 1,
                                .number = 1,
                                .loads = this->edges[index]->pool->own_loads(this->instant())});
         }
         this->told.emplace_back(this->now_ms, std::move(reports));
         while (!this->told.empty() &&
                this->told.front().first + this->kept.report_lag_ms <= this->now_ms) {
-            dispatch::load_board board({}, this->instant() - milliseconds{5'000});
+            dispatch::load_table table({}, this->instant() - milliseconds{5'000});
             for (const dispatch::load_report& report : this->told.front().second) {
-                board.take(report, this->instant());
+                table.apply_report(report, this->instant());
             }
             for (std::size_t index = 0; index < edge_count; ++index) {
                 const base::node_id node("n" + std::to_string(index));
-                this->edges[index]->elsewhere.take(board.totals_without(node, this->instant()),
-                                                   this->instant());
+                this->edges[index]->remote_load.apply_totals(
+                    table.totals_excluding(node, this->instant()), this->instant());
             }
             this->told.erase(this->told.begin());
         }
--- a/tests/unit/forward/place_check_test.cc
+++ b/tests/unit/forward/zone_rules_test.cc
@@ -17,8 +17,8 @@
 
 using namespace pearbarrow;
 using namespace pearbarrow::forward;
-using places::place_rules;
-using places::place_verdict;
+using places::zone_rules;
+using places::zone_verdict;
 
 namespace {
 
@@ -86,7 +86,7 @@
 /// A forwarding node in zone `a` with one back end in `a` and one in `b`.
 struct place_fixture {
     explicit place_fixture(const std::vector<std::string>& regions = {}) {
-        this->pool.set_places(this->rules);
+        this->pool.set_zone_rules(this->rules);
         this->pool.set_backends(two_zones(1), this->clock.now());
         this->configure(1, regions);
         this->rules.set_emptied(emptied({}));
@@ -131,11 +131,11 @@
     base::metrics_registry metrics;
     forward_log log{clock, metrics, {}};
     scripted_client client;
-    place_rules rules{{{"a", "north"}, {"b", "south"}}};
+    zone_rules rules{{{"a", "north"}, {"b", "south"}}};
     backend_pool pool{{.node = "n", .zone = "a"}, random};
     turns::testing::counting_caller caller;
     turns::turn_client turns{loop, clock, caller, turns::client_options{}};
-    std::unique_ptr<program_gate> gate = make_open_gate();
+    std::unique_ptr<program_admission> admission = make_unlimited_admission();
     tenants::quota_client quotas{loop, clock, caller, {}};
     forward_context context{.loop = loop,
                             .clock = clock,
@@ -144,11 +144,11 @@
                             .pool = pool,
                             .turns = turns,
                             .quotas = quotas,
-                            .gate = *gate,
+                            .admission = *admission,
                             .log = log,
                             .options = {.headers = names()},
                             .active = nullptr,
-                            .places = &rules};
+                            .zone_rules = &rules};
     std::unique_ptr<forward_service> service = std::make_unique<forward_service>(context);
 };
 
@@ -156,7 +156,7 @@
 class granting_permits final : public slowstart::permit_source {
   public:
     explicit granting_permits(net::event_loop& loop) : loop(loop) {}
-    std::unique_ptr<turns::turn_operation> ask(
+    std::unique_ptr<turns::turn_operation> request_permit(
         const slowstart::cold_start& /*target*/,
         std::function<void(const slowstart::permit_decision&)> done) override {
         ++this->asked;
@@ -191,11 +191,11 @@
 }  // namespace
 
 Test(place_check, pool_skips_emptied_zones) {
-    place_rules rules({});
+    zone_rules rules({});
     base::random_source random(1);
     backend_pool pool({.node = "n", .zone = "a"}, random);
     const base::instant now{std::chrono::seconds(1)};
-    pool.set_places(rules);
+    pool.set_zone_rules(rules);
     pool.set_backends(two_zones(4), now);
     rules.set_emptied(emptied({"a"}));
     for (int index = 0; index < 40; ++index) {
@@ -203,19 +203,19 @@
         cr_assert(chosen.has_value() && chosen->target.zone == "b");
         cr_assert(chosen->candidates == 4);
     }
-    cr_assert(pool.placement_verdict_of("tool", {}) == place_verdict::permitted);
+    cr_assert(pool.placement_verdict_of("tool", {}) == zone_verdict::permitted);
     rules.set_emptied(emptied({"a", "b"}));
     cr_assert(!pool.choose({.service = "tool"}, now).has_value());
-    cr_assert(pool.placement_verdict_of("tool", {}) == place_verdict::zone_emptied);
-    cr_assert(pool.requests_in_emptied() == 40);
+    cr_assert(pool.placement_verdict_of("tool", {}) == zone_verdict::zone_emptied);
+    cr_assert(pool.requests_in_emptied_zones() == 40);
 }
 
 Test(place_check, load_counts_only_slots_of_open_zones) {
-    place_rules rules({});
+    zone_rules rules({});
     base::random_source random(1);
     backend_pool pool({.node = "n", .zone = "a"}, random);
     const base::instant now{std::chrono::seconds(1)};
-    pool.set_places(rules);
+    pool.set_zone_rules(rules);
     pool.set_backends(two_zones(4), now);
     cr_assert(pool.load_of("tool", now).slots == 32);
     rules.set_emptied(emptied({"a"}));
@@ -234,7 +234,7 @@
     node.client.sent[0].callbacks.on_done(withdrawn());
     cr_assert(node.client.sent.size() == 2 && node.target_of(1) == "i1");
     cr_assert(!exchange->answer.has_value());
-    cr_assert(node.pool.requests_in_emptied() == 0, "the withdrawn request is not counted");
+    cr_assert(node.pool.requests_in_emptied_zones() == 0, "the withdrawn request is not counted");
     // An attempt that was not sent is not counted, so a further one is allowed after the second.
     node.rules.set_emptied(emptied({}));
     node.client.sent[1].callbacks.on_done(withdrawn());
@@ -250,7 +250,7 @@
     net::testing::run_for(node.loop, std::chrono::milliseconds(20));
     cr_assert(!exchange->answer.has_value());
     cr_assert(node.client.sent.size() == 1);
-    cr_assert(node.pool.requests_in_emptied() == 1);
+    cr_assert(node.pool.requests_in_emptied_zones() == 1);
 }
 
 Test(place_check, regions_that_change_while_a_request_waits_bind_it) {
@@ -278,7 +278,7 @@
 
 Test(place_check, node_without_list_of_emptied_zones_rejects) {
     place_fixture node;
-    node.rules = place_rules({});
+    node.rules = zone_rules({});
     const auto exchange = node.ask();
     cr_assert(exchange->answer->status == 503);
     cr_assert(exchange->answer->body.find("emptied_zones_unknown") != std::string::npos);
@@ -294,20 +294,20 @@
     constexpr int rounds = 20;
     constexpr int choices = 500;
     const std::vector<std::string> permitted = {"north", "south"};
-    place_rules rules({{"a", "north"}, {"b", "south"}, {"c", "west"}, {"d", "east"}});
+    zone_rules rules({{"a", "north"}, {"b", "south"}, {"c", "west"}, {"d", "east"}});
     rules.set_emptied(emptied({"c"}));
     base::random_source random(1);
     backend_pool plain({.node = "n", .zone = "a"}, random);
     backend_pool checked({.node = "n", .zone = "a"}, random);
-    checked.set_places(rules);
+    checked.set_zone_rules(rules);
     const base::instant now{std::chrono::seconds(1)};
-    const auto time_of = [&](backend_pool& pool, const places::place_request& place) {
+    const auto time_of = [&](backend_pool& pool, const places::region_limits& place) {
         pool.set_backends(two_zones(half), now);
         const auto started_at = std::chrono::steady_clock::now();
         for (int index = 0; index < choices; ++index) {
             const auto chosen = pool.choose({.service = "tool", .place = place}, now);
-            pool.on_response_head(chosen->target.run(), now);
-            pool.on_attempt_ended(chosen->target.run(), attempt_result::served,
+            pool.on_response_head(chosen->target.incarnation(), now);
+            pool.on_attempt_ended(chosen->target.incarnation(), attempt_result::served,
                                   base::microseconds{1}, now);
         }
         const std::chrono::duration<double, std::micro> took =
--- a/tests/unit/membership/swim_test.cc
+++ b/tests/unit/membership/swim_test.cc
@@ -68,7 +68,7 @@
     nodes.deliver(nodes.first.apply(membership::metadata_changed{changed}, nodes.now));
     nodes.join();
     cr_assert(nodes.second.find(base::node_id("a"))->metadata.draining);
-    cr_assert_not(nodes.second.find(base::node_id("a"))->takes_work());
+    cr_assert_not(nodes.second.find(base::node_id("a"))->accepts_work());
 }
 
 Test(swim, foreign_and_malformed_datagrams_are_rejected) {
--- a/tests/unit/net/held_bytes_test.cc
+++ b/tests/unit/net/buffered_bytes_test.cc
@@ -1,4 +1,4 @@
-#include "pearbarrow/net/held_bytes.h"
+#include "pearbarrow/net/buffered_bytes.h"
 
 #include <list>
 
@@ -18,21 +18,21 @@
 constexpr std::size_t kilobyte = 1024;
 constexpr std::size_t megabyte = 1024 * kilobyte;
 
-class fake_owner final : public held_bytes::holder {
+class fake_owner final : public buffered_bytes::buffer_owner {
   public:
-    fake_owner(held_bytes& ledger, std::size_t bytes, base::instant last_progress)
+    fake_owner(buffered_bytes& ledger, std::size_t bytes, base::instant last_progress)
         : ledger(ledger), bytes(bytes), last_progress(last_progress) {
-        ledger.add(holding::answers, bytes);
-        ledger.join(*this);
+        ledger.add(buffer_kind::responses, bytes);
+        ledger.add_owner(*this);
     }
-    std::size_t held() const override { return this->bytes; }
+    std::size_t buffered() const override { return this->bytes; }
     base::instant progressed_at() const override { return this->last_progress; }
     void cut_off() override {
-        this->ledger.remove(holding::answers, std::exchange(this->bytes, 0));
+        this->ledger.remove(buffer_kind::responses, std::exchange(this->bytes, 0));
         this->is_cut_off = true;
     }
 
-    held_bytes& ledger;
+    buffered_bytes& ledger;
     std::size_t bytes;
     base::instant last_progress;
     bool is_cut_off = false;
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-Test(held_bytes, largest_stalled_owner_is_cut_off_first) {
+Test(buffered_bytes, largest_stalled_owner_is_cut_off_first) {
     const base::instant now{base::seconds{100}};
-    held_bytes ledger({.bound = 100}, [now] { return now; });
+    buffered_bytes ledger({.bound = 100}, [now] { return now; });
     fake_owner busy(ledger, 70, now);
     fake_owner stalled(ledger, 20, now - base::seconds{1});
     fake_owner larger_stalled(ledger, 40, now - base::seconds{1});
@@ -55,48 +55,49 @@
     cr_assert(busy.is_cut_off && !more.is_cut_off, "the largest owner must go next");
 }
 
-Test(held_bytes, large_bodies_are_rejected_before_small_ones) {
-    held_bytes ledger({.bound = 10 * megabyte});
+Test(buffered_bytes, large_bodies_are_rejected_before_small_ones) {
+    buffered_bytes ledger({.bound = 10 * megabyte});
     cr_assert(ledger.admits(4 * megabyte));
-    ledger.add(holding::answers, 6 * megabyte);
+    ledger.add(buffer_kind::responses, 6 * megabyte);
     cr_assert(!ledger.admits(kilobyte * 100) && ledger.admits(kilobyte));
-    ledger.add(holding::answers, 4 * megabyte);
+    ledger.add(buffer_kind::responses, 4 * megabyte);
     cr_assert(!ledger.admits(kilobyte));
-    held_bytes unbounded;
-    unbounded.add(holding::answers, 400 * megabyte);
+    buffered_bytes unbounded;
+    unbounded.add(buffer_kind::responses, 400 * megabyte);
     cr_assert(unbounded.admits(100 * megabyte));
 }
 
-Test(held_bytes, share_shrinks_with_free_bytes) {
-    held_bytes ledger({.bound = 16 * megabyte});
+Test(buffered_bytes, share_shrinks_with_free_bytes) {
+    buffered_bytes ledger({.bound = 16 * megabyte});
     cr_assert(ledger.share() == megabyte);
-    ledger.add(holding::answers, 8 * megabyte);
+    ledger.add(buffer_kind::responses, 8 * megabyte);
     cr_assert(ledger.share() == megabyte / 2);
-    ledger.add(holding::answers, 9 * megabyte);
+    ledger.add(buffer_kind::responses, 9 * megabyte);
     cr_assert(ledger.share() == 16 * kilobyte, "the share must not fall below the minimum");
 }
 
 // Guards against many owners that exceed the bound together although each stays within its share.
-Test(held_bytes, shares_of_many_owners_stay_within_bound) {
-    held_bytes ledger({.bound = 29 * megabyte});
-    std::vector<std::size_t> held(200, 0);
+Test(buffered_bytes, shares_of_many_owners_stay_within_bound) {
+    buffered_bytes ledger({.bound = 29 * megabyte});
+    std::vector<std::size_t> buffered(200, 0);
     for (int round = 0; round < 2'000; ++round) {
-        for (std::size_t& one : held) {
+        for (std::size_t& one : buffered) {
             if (one < ledger.share()) {
                 one += 8 * kilobyte;
-                ledger.add(holding::answers, 8 * kilobyte);
+                ledger.add(buffer_kind::responses, 8 * kilobyte);
             }
         }
     }
-    cr_assert(!ledger.is_over(), "%zu bytes", ledger.total());
+    cr_assert(!ledger.is_over_bound(), "%zu bytes", ledger.total());
     cr_assert(ledger.total() > 20 * megabyte, "%zu bytes", ledger.total());
 }
 
-Test(held_bytes, unread_response_bytes_are_counted_until_read) {
+Test(buffered_bytes, unread_response_bytes_are_counted_until_read) {
     event_loop loop;
-    const auto ledger = std::make_shared<held_bytes>(held_bytes_options{.bound = 64 * megabyte});
+    const auto ledger =
+        std::make_shared<buffered_bytes>(buffered_bytes_options{.bound = 64 * megabyte});
     http_server_options options;
-    options.held = ledger;
+    options.buffered = ledger;
     const auto server = serve(
         loop,
         [](const std::shared_ptr<http_exchange>& exchange) {
@@ -106,10 +107,10 @@
         options);
     raw_client client(server->local_endpoint(), 4'096);
     client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-    cr_assert(run_until(loop, [&] { return ledger->of(holding::answers) > megabyte; }));
+    cr_assert(run_until(loop, [&] { return ledger->of(buffer_kind::responses) > megabyte; }));
     cr_assert(run_until(loop, [&] {
         client.receive();
-        return ledger->of(holding::answers) == 0;
+        return ledger->of(buffer_kind::responses) == 0;
     }));
     cr_assert(client.received.size() > 8 * megabyte);
     cr_assert(ledger->total() == 0);
@@ -117,12 +118,12 @@
 
 // Guards against clients that read nothing and use up the memory of the node. They are disconnected
 // one after another, and other clients are unaffected.
-Test(held_bytes, clients_that_read_nothing_are_cut_off_at_bound) {
+Test(buffered_bytes, clients_that_read_nothing_are_cut_off_at_bound) {
     event_loop loop;
-    const auto ledger = std::make_shared<held_bytes>(
-        held_bytes_options{.bound = 16 * megabyte, .stalled_after = base::milliseconds{50}});
+    const auto ledger = std::make_shared<buffered_bytes>(
+        buffered_bytes_options{.bound = 16 * megabyte, .stalled_after = base::milliseconds{50}});
     http_server_options options;
-    options.held = ledger;
+    options.buffered = ledger;
     std::list<std::shared_ptr<http_exchange>> exchanges;
     std::vector<std::string> reasons;
     const auto server = serve(
@@ -147,7 +148,7 @@
         run_for(loop, base::milliseconds{20});
         cr_assert(ledger->total() <= 24 * megabyte, "at most one response may exceed the bound");
     }
-    cr_assert(run_until(loop, [&] { return !ledger->is_over(); }));
+    cr_assert(run_until(loop, [&] { return !ledger->is_over_bound(); }));
     cr_assert(ledger->cut_off_count() >= 6 && reasons.size() == ledger->cut_off_count(),
               "%lu cut off, %zu notified", ledger->cut_off_count(), reasons.size());
     cr_assert(reasons.front() == "memory_bound");
@@ -156,12 +157,13 @@
     cr_assert(run_until(loop, [&] { return quick.has("small"); }));
 }
 
-Test(held_bytes, body_over_bound_is_rejected_before_it_is_read) {
+Test(buffered_bytes, body_over_bound_is_rejected_before_it_is_read) {
     event_loop loop;
-    const auto ledger = std::make_shared<held_bytes>(held_bytes_options{.bound = 4 * megabyte});
-    ledger->add(holding::answers, 3 * megabyte);
+    const auto ledger =
+        std::make_shared<buffered_bytes>(buffered_bytes_options{.bound = 4 * megabyte});
+    ledger->add(buffer_kind::responses, 3 * megabyte);
     http_server_options options;
-    options.held = ledger;
+    options.buffered = ledger;
     bool was_handled = false;
     const auto server = serve(
         loop,
@@ -177,12 +179,12 @@
     raw_client small(server->local_endpoint());
     small.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody");
     cr_assert(run_until(loop, [&] { return small.has("body"); }));
-    ledger->remove(holding::answers, 3 * megabyte);
+    ledger->remove(buffer_kind::responses, 3 * megabyte);
     cr_assert(run_until(loop, [&] { return ledger->total() == 0; }),
               "a body must be counted until its end");
 }
 
-Test(held_bytes, paused_response_resumes_completely) {
+Test(buffered_bytes, paused_response_resumes_completely) {
     event_loop loop;
     const auto server = serve(loop, [](const std::shared_ptr<http_exchange>& exchange) {
         exchange->respond({.status = 200, .headers = {}, .body = std::string(8 * megabyte, 'x')});
--- a/tests/unit/net/frame_packing_test.cc
+++ b/tests/unit/net/frame_compression_test.cc
@@ -1,5 +1,5 @@
 // Compression of frames on cross-zone links.
-#include "pearbarrow/net/frame_packing.h"
+#include "pearbarrow/net/frame_compression.h"
 
 #include <string>
 
--- a/tests/unit/net/http_client_test.cc
+++ b/tests/unit/net/http_client_test.cc
@@ -262,7 +262,7 @@
     const auto client = make_http_client(loop);
     const auto call_incarnation = [&](std::uint64_t run) {
         auto call = get(server.local_endpoint());
-        call.server_run = run;
+        call.server_incarnation = run;
         bool done = false;
         bool response_sent = false;
         client->fetch(std::move(call), [&](const absl::StatusOr<http_response>& response) {
--- a/tests/unit/net/peer_rpc_test.cc
+++ b/tests/unit/net/peer_rpc_test.cc
@@ -268,7 +268,7 @@
     };
     const traffic_row request_row = row_of(*pair.client);
     const traffic_row reply_row = row_of(*pair.server);
-    cr_assert(!request_row.is_answer && reply_row.is_answer);
+    cr_assert(!request_row.is_reply && reply_row.is_reply);
     cr_assert(request_row.distance == peer_distance::other_region);
     cr_assert(reply_row.distance == peer_distance::other_region);
     cr_assert(request_row.frames == 1);
--- a/tests/unit/placement/cell_scheduler_test.cc
+++ b/tests/unit/placement/cell_scheduler_test.cc
@@ -154,10 +154,10 @@
     scheduler_fixture cell;
     cell.set_engines({cell.engine("a"), cell.engine("b")});
     auto offer = cell.offer("1", "p1");
-    offer.avoid = {base::backend_id("a")};
+    offer.excluded_engines = {base::backend_id("a")};
     cr_assert_eq(scheduler_fixture::result(cell.give(offer)), "b");
     offer = cell.offer("2", "p2");
-    offer.avoid = {base::backend_id("a"), base::backend_id("b")};
+    offer.excluded_engines = {base::backend_id("a"), base::backend_id("b")};
     cr_assert(!scheduler_fixture::result(cell.give(offer)).empty());
 }
 
--- a/tests/unit/places/places_simulation_test.cc
+++ b/tests/unit/places/places_simulation_test.cc
@@ -10,13 +10,13 @@
 
 #include "pearbarrow/base/random.h"
 #include "pearbarrow/directory/directory_state.h"
-#include "pearbarrow/places/place_rules.h"
+#include "pearbarrow/places/zone_rules.h"
 
 #include <criterion/criterion.h>
 
 using namespace pearbarrow;
-using places::place_rules;
-using places::place_verdict;
+using places::zone_rules;
+using places::zone_verdict;
 
 namespace {
 
@@ -41,7 +41,7 @@
 
 struct edge {
     directory::directory_state state;
-    place_rules rules{{}};
+    zone_rules rules{{}};
     std::vector<waiting_request> waiting;
     /// The edge reaches neither other edges nor the directory service.
     bool is_isolated = false;
@@ -150,19 +150,19 @@
         }
         const edge& peer = this->edges[this->random.below(edge_count)];
         if (!peer.is_isolated && this->random.below(peer_poll_interval) == 0) {
-            this->apply(node, peer.state.newer_than(node.state.versions()));
+            this->apply(node, peer.state.update_since(node.state.versions()));
         }
     }
 
     /// Selects a random zone that is permitted, as a node does.
     std::optional<std::string> permitted_zone(const edge& node) {
-        if (!node.rules.knows_emptied()) {
+        if (!node.rules.is_emptied_list_known()) {
             return std::nullopt;
         }
         const std::size_t first = this->random.below(zones.size());
         for (std::size_t index = 0; index < zones.size(); ++index) {
             const std::string zone = zones[(first + index) % zones.size()];
-            if (node.rules.judge({}, zone) == place_verdict::permitted) {
+            if (node.rules.check({}, zone) == zone_verdict::permitted) {
                 return zone;
             }
         }
@@ -183,7 +183,7 @@
                 continue;
             }
             std::optional<std::string> zone = request.zone;
-            if (this->checks_at_send && node.rules.judge({}, *zone) != place_verdict::permitted) {
+            if (this->checks_at_send && node.rules.check({}, *zone) != zone_verdict::permitted) {
                 zone = this->permitted_zone(node);
             }
             if (zone.has_value()) {
@@ -196,7 +196,7 @@
 
     void record_sent(const edge& node, const std::string& zone) {
         ++this->sent;
-        this->sent_without_list += node.rules.knows_emptied() ? 0 : 1;
+        this->sent_without_list += node.rules.is_emptied_list_known() ? 0 : 1;
         const bool is_late = std::any_of(this->emptied_periods.begin(), this->emptied_periods.end(),
                                          [&](const emptied_period& period) {
                                              return period.zone == zone &&
--- a/tests/unit/slowstart/cold_simulation_test.cc
+++ b/tests/unit/slowstart/cold_simulation_test.cc
@@ -242,7 +242,7 @@
         edge.partitioned_until = this->now + static_cast<std::int64_t>(time);
         this->schedule(time, [this, &edge] {
             if (this->enabled.handles_gaps && edge.partitioned_until <= this->now) {
-                edge.table.note_gap(at(this->now));
+                edge.table.on_update_gap(at(this->now));
             }
         });
     }
@@ -431,7 +431,7 @@
         const std::size_t chosen = *choice;
         simulated_backend& target = this->backends[chosen];
         if (!target.is_up) {
-            edge.table.note_unreachable(target.entry.id);
+            edge.table.on_unreachable(target.entry.id);
             return;
         }
         const bool is_cold =
@@ -444,7 +444,7 @@
         } else if (this->enabled.method == admission_method::fixed_edges) {
             this->use_fixed_part(index, chosen);
         } else {
-            auto order = tenants::quota_members(edge.view, limit_name(target.entry.id));
+            auto order = tenants::quota_members(edge.view, permit_limit_name(target.entry.id));
             std::rotate(
                 order.begin(),
                 order.begin() + static_cast<std::ptrdiff_t>(this->random.below(order.size())),
@@ -478,8 +478,9 @@
             });
             return;
         }
-        const auto reply = member->second->take(
-            {.tenant = limit_name(this->backends[target].entry.id), .program = 1}, at(this->now));
+        const auto reply = member->second->try_acquire(
+            {.tenant = permit_limit_name(this->backends[target].entry.id), .program = 1},
+            at(this->now));
         if (reply.outcome != tenants::quota_outcome::granted) {
             this->request_permit(edge, target, order, attempt + 1, requested_at);
             return;
@@ -515,7 +516,7 @@
         const auto before = std::count_if(
             edge.peers.begin(), edge.peers.end(),
             [&](std::size_t peer) { return peer != index && weight(peer) > weight(index); });
-        const double rate = granted_in_second(cold_rate, bound) / fixed_edges;
+        const double rate = max_permits_per_second(cold_rate, bound) / fixed_edges;
         auto& [left, since] = edge.fixed_parts[id];
         left = std::min(1.0, left + rate * static_cast<double>(this->now - since) / second_us);
         since = this->now;
@@ -533,7 +534,7 @@
             if (!backend.is_up) {
                 return;
             }
-            this->edges[edge].table.note_reached(backend.entry.id, at(this->now));
+            this->edges[edge].table.on_response(backend.entry.id, at(this->now));
             if (backend.cold_until > this->now) {
                 backend.arrivals.push_back(this->now);
                 ++this->counted.cold_arrivals;
--- a/tests/unit/slowstart/cold_table_test.cc
+++ b/tests/unit/slowstart/cold_table_test.cc
@@ -109,12 +109,12 @@
 
 Test(cold_table, unreachable_back_end_is_cold_from_its_first_response) {
     table_fixture fixture;
-    fixture.table.note_unreachable("e");
+    fixture.table.on_unreachable("e");
     cr_assert(fixture.is_cold_after(long_after));
     fixture.now += long_after;
-    fixture.table.note_reached("e", fixture.now);
+    fixture.table.on_response("e", fixture.now);
     cr_assert(fixture.is_cold_after(milliseconds{2'999}));
-    fixture.table.note_reached("e", fixture.now + milliseconds{1'000});
+    fixture.table.on_response("e", fixture.now + milliseconds{1'000});
     cr_assert(!fixture.is_cold_after(milliseconds{3'000}),
               "only the first response starts the cold time");
 }
@@ -124,7 +124,7 @@
     fixture.list.backends["t"].started_at = 2'000;
     fixture.list.backends["t"].cold_left_ms = 2'500;
     fixture.publish();
-    fixture.table.note_unreachable("t");
+    fixture.table.on_unreachable("t");
     cr_assert(!fixture.is_cold_after(milliseconds{0}, "t"));
     cr_assert(!fixture.table.find("t", fixture.now).has_value());
 }
--- a/tests/unit/slowstart/start_quota_test.cc
+++ b/tests/unit/slowstart/start_quota_test.cc
@@ -24,7 +24,7 @@
                                                 reply_handler on_reply) override {
         ++this->calls;
         this->method = method;
-        this->request = *wire::decode<tenants::quota_question>(payload);
+        this->request = *wire::decode<tenants::grant_request>(payload);
         if (this->reply.has_value()) {
             on_reply(wire::encode(*this->reply));
         } else {
@@ -36,7 +36,7 @@
     std::optional<tenants::grant_reply> reply;
     int calls = 0;
     net::method_number method = 0;
-    tenants::quota_question request;
+    tenants::grant_request request;
 };
 
 struct source_fixture {
@@ -44,8 +44,9 @@
 
     permit_decision ask() {
         std::optional<permit_decision> decision;
-        const auto operation = this->source.ask({.backend = "e", .started_at = 1, .rate = 32},
-                                                [&](const auto& result) { decision = result; });
+        const auto operation =
+            this->source.request_permit({.backend = "e", .started_at = 1, .rate = 32},
+                                        [&](const auto& result) { decision = result; });
         cr_assert(!decision.has_value(), "done was called before ask returned");
         cr_assert(run_until(this->loop, [&] { return decision.has_value(); }));
         return *decision;
@@ -82,12 +83,12 @@
     cr_assert(fixture.ask().verdict == permit_verdict::granted);
     cr_assert(fixture.caller.calls == 1);
     cr_assert(fixture.caller.method == wire::start_permit);
-    cr_assert(fixture.caller.request.tenant == limit_name("e"));
+    cr_assert(fixture.caller.request.tenant == permit_limit_name("e"));
 }
 
 Test(start_quota, permit_without_reply_is_unanswered) {
     source_fixture fixture;
-    cr_assert(fixture.ask().verdict == permit_verdict::unanswered);
+    cr_assert(fixture.ask().verdict == permit_verdict::no_reply);
     cr_assert(fixture.caller.calls == 3);
 }
 
@@ -113,10 +114,10 @@
                         {});
     const auto config = limits.limits();
     cr_assert(config.tenants.size() == 1);
-    cr_assert(config.tenants[0].name == limit_name("e"));
+    cr_assert(config.tenants[0].name == permit_limit_name("e"));
     // Three quarters of 53, minus one request for each of three members.
     cr_assert_float_eq(config.tenants[0].rate, 36.75, 1e-9);
-    cr_assert_float_eq(granted_in_second(32, {.overage = 1.5, .slack = 5}), 39.75, 1e-9);
+    cr_assert_float_eq(max_permits_per_second(32, {.overage = 1.5, .slack = 5}), 39.75, 1e-9);
 }
 
 Test(start_limits, back_end_that_briefly_leaves_the_list_keeps_its_limit) {
--- a/tests/unit/tenants/quota_client_test.cc
+++ b/tests/unit/tenants/quota_client_test.cc
@@ -26,7 +26,7 @@
                                                 base::milliseconds /*timeout*/,
                                                 reply_handler on_reply) override {
         this->called_members.push_back(member.node);
-        this->requests.push_back(*wire::decode<quota_question>(payload));
+        this->requests.push_back(*wire::decode<grant_request>(payload));
         const auto reply = this->replies.find(member.node);
         if (reply == this->replies.end()) {
             on_reply(base::make_error(absl::StatusCode::kDeadlineExceeded, "silent", {}));
@@ -38,7 +38,7 @@
 
     std::map<base::node_id, grant_reply> replies;
     std::vector<base::node_id> called_members;
-    std::vector<quota_question> requests;
+    std::vector<grant_request> requests;
 };
 
 struct client_fixture {
@@ -47,8 +47,8 @@
     quota_decision ask(std::uint64_t program = 0) {
         std::optional<quota_decision> decision;
         this->caller.called_members.clear();
-        const auto operation = this->client.ask({"shop", program, false},
-                                                [&](const auto& result) { decision = result; });
+        const auto operation = this->client.request_grant(
+            {"shop", program, false}, [&](const auto& result) { decision = result; });
         cr_assert(!decision.has_value(), "done was called before ask returned");
         cr_assert(run_until(this->loop, [&] { return decision.has_value(); }));
         return *decision;
@@ -108,23 +108,23 @@
 
 Test(quota_client, request_without_reply_is_unanswered) {
     client_fixture fixture;
-    cr_assert(fixture.ask().verdict == quota_verdict::unanswered);
+    cr_assert(fixture.ask().verdict == quota_verdict::no_reply);
     cr_assert(fixture.caller.called_members.size() == 3);
     fixture.client.set_view({});
-    cr_assert(fixture.ask().verdict == quota_verdict::unanswered);
+    cr_assert(fixture.ask().verdict == quota_verdict::no_reply);
 }
 
 Test(quota_client, not_counted_here_is_no_decision) {
     client_fixture fixture;
     fixture.set_all_replies({.outcome = quota_outcome::not_counted_here});
-    cr_assert(fixture.ask().verdict == quota_verdict::unanswered);
+    cr_assert(fixture.ask().verdict == quota_verdict::no_reply);
 }
 
 Test(quota_client, destroyed_operation_never_calls_back) {
     client_fixture fixture;
     fixture.set_all_replies({.outcome = quota_outcome::granted});
     bool called = false;
-    fixture.client.ask({"shop", 0, false}, [&](const auto&) { called = true; }).reset();
+    fixture.client.request_grant({"shop", 0, false}, [&](const auto&) { called = true; }).reset();
     net::testing::run_for(fixture.loop, std::chrono::milliseconds(5));
     cr_assert(!called && fixture.caller.called_members.empty());
 }
--- a/tests/unit/tenants/quota_ledger_test.cc
+++ b/tests/unit/tenants/quota_ledger_test.cc
@@ -28,10 +28,10 @@
 
 /// One of three members that enforce the limit, with a third of the rate and of the burst.
 struct member_fixture {
-    explicit member_fixture(double rate = 30, double burst = 30, double extra = 0) {
+    explicit member_fixture(double rate = 30, double burst = 30, double extra_tokens = 0) {
         this->ledger =
             std::make_unique<quota_ledger>(quota_options{.self = base::node_id("store-a"),
-                                                         .extra = extra,
+                                                         .extra_tokens = extra_tokens,
                                                          .initial_tokens = 0,
                                                          .reserved_for_programs = 0.5});
         this->ledger->set_view(view_of_three(), this->now);
@@ -41,15 +41,16 @@
         this->now +=
             std::chrono::duration_cast<base::microseconds>(std::chrono::duration<double>(seconds));
     }
-    grant_reply take(std::uint64_t program = 0, bool continues = false) {
-        return this->ledger->take({"shop", program, continues}, this->now);
+    grant_reply try_acquire(std::uint64_t program = 0, bool continues = false) {
+        return this->ledger->try_acquire({"shop", program, continues}, this->now);
     }
     /// Sends requests of programs in progress or of new programs, and returns how many are granted.
     int granted(int request_count, bool continues) {
         int count = 0;
         for (int index = 0; index < request_count; ++index) {
             const std::uint64_t program = continues ? 0 : ++this->last_program;
-            count += this->take(program, continues).outcome == quota_outcome::granted ? 1 : 0;
+            count +=
+                this->try_acquire(program, continues).outcome == quota_outcome::granted ? 1 : 0;
         }
         return count;
     }
@@ -63,7 +64,7 @@
 
 Test(quota_ledger, member_grants_nothing_right_after_start) {
     member_fixture member;
-    cr_assert(member.take(0, true).outcome == quota_outcome::refused);
+    cr_assert(member.try_acquire(0, true).outcome == quota_outcome::refused);
     member.advance(0.5);
     cr_assert(member.granted(100, true) == 5);
 }
@@ -86,11 +87,12 @@
 Test(quota_ledger, program_with_a_grant_is_in_progress) {
     member_fixture member;
     member.advance(60);
-    cr_assert(member.take(7).outcome == quota_outcome::granted);
+    cr_assert(member.try_acquire(7).outcome == quota_outcome::granted);
     cr_assert(member.granted(100, false) == 4);
-    cr_assert(member.take(7).outcome == quota_outcome::granted,
+    cr_assert(member.try_acquire(7).outcome == quota_outcome::granted,
               "the program in progress continues");
-    cr_assert(member.take(8).outcome == quota_outcome::refused, "a new program does not start");
+    cr_assert(member.try_acquire(8).outcome == quota_outcome::refused,
+              "a new program does not start");
 }
 
 Test(quota_ledger, share_holds_extra_tokens) {
@@ -108,7 +110,7 @@
     for (int program = 1; program <= 40; ++program) {
         for (int request = 0; request < 6; ++request) {
             const auto number = static_cast<std::uint64_t>(program);
-            refused += member.take(number).outcome == quota_outcome::refused ? 1 : 0;
+            refused += member.try_acquire(number).outcome == quota_outcome::refused ? 1 : 0;
             member.advance(0.3);
         }
         member.advance(3);
@@ -120,19 +122,19 @@
     quota_ledger ledger({.self = base::node_id("store-a")});
     ledger.set_view(view_of_three(), {});
     ledger.set_configuration(limited(30, 30), {});
-    cr_assert(ledger.take({"shop", 1, true}, {}).outcome == quota_outcome::granted);
-    cr_assert(ledger.take({"shop", 1, true}, {}).outcome == quota_outcome::refused);
+    cr_assert(ledger.try_acquire({"shop", 1, true}, {}).outcome == quota_outcome::granted);
+    cr_assert(ledger.try_acquire({"shop", 1, true}, {}).outcome == quota_outcome::refused);
 }
 
 Test(quota_ledger, request_is_granted_after_retry_after) {
     member_fixture member;
     member.advance(60);
     member.granted(100, true);
-    const grant_reply refused = member.take(0, true);
+    const grant_reply refused = member.try_acquire(0, true);
     cr_assert(refused.outcome == quota_outcome::refused);
     cr_assert(refused.retry_after_ms == 100, "%u", refused.retry_after_ms);
     member.advance(0.1);
-    cr_assert(member.take(0, true).outcome == quota_outcome::granted);
+    cr_assert(member.try_acquire(0, true).outcome == quota_outcome::granted);
 }
 
 Test(quota_ledger, limit_below_one_grants_one_request) {
@@ -146,7 +148,7 @@
     member.advance(60);
     member.ledger->set_configuration(limited(3, 3, 2), member.now);
     cr_assert(member.granted(200, true) == 1);
-    cr_assert(member.take(0, true).config == 2);
+    cr_assert(member.try_acquire(0, true).config == 2);
 }
 
 Test(quota_ledger, higher_limit_keeps_used_tokens) {
@@ -159,7 +161,7 @@
 
 Test(quota_ledger, tenant_without_limit_is_not_counted) {
     member_fixture member(0, 0);
-    cr_assert(member.take().outcome == quota_outcome::not_counted_here);
+    cr_assert(member.try_acquire().outcome == quota_outcome::not_counted_here);
     cr_assert(member.ledger->tenant_count() == 0);
 }
 
@@ -196,7 +198,7 @@
     directory::storage_view without = view_of_three();
     without.members.erase(without.members.begin());
     member.ledger->set_view(without, member.now);
-    cr_assert(member.take(0, true).outcome == quota_outcome::not_counted_here);
+    cr_assert(member.try_acquire(0, true).outcome == quota_outcome::not_counted_here);
     member.ledger->set_view(view_of_three(), member.now);
     cr_assert(member.granted(100, true) == 0);
 }
@@ -205,7 +207,7 @@
     member_fixture member(600, 600);
     for (std::uint64_t program = 1; program < 5'000; ++program) {
         member.advance(0.01);
-        member.take(program);
+        member.try_acquire(program);
     }
     cr_assert(member.ledger->program_count() < 1'000, "%zu", member.ledger->program_count());
 }
@@ -215,7 +217,7 @@
     member.advance(60);
     int count = 0;
     for (int index = 0; index < 100; ++index) {
-        count += member.take().outcome == quota_outcome::granted ? 1 : 0;
+        count += member.try_acquire().outcome == quota_outcome::granted ? 1 : 0;
     }
     cr_assert(count == 10, "%d", count);
 }
@@ -224,10 +226,10 @@
 
 /// A member that limits requests in windows of 5 s.
 struct windowed_member : member_fixture {
-    explicit windowed_member(double extra) {
+    explicit windowed_member(double extra_tokens) {
         this->ledger =
             std::make_unique<quota_ledger>(quota_options{.self = base::node_id("store-a"),
-                                                         .extra = 0,
+                                                         .extra_tokens = 0,
                                                          .initial_tokens = 0,
                                                          .window = base::milliseconds{5'000}});
         this->ledger->set_view(view_of_three(), this->now);
--- a/tests/unit/tenants/quota_simulation_test.cc
+++ b/tests/unit/tenants/quota_simulation_test.cc
@@ -227,7 +227,7 @@
         grant_reply reply;
         if (member != this->members.end()) {
             // A grant whose reply is lost is counted as well.
-            reply = member->second->take({tenant_name, program, false}, at(this->now));
+            reply = member->second->try_acquire({tenant_name, program, false}, at(this->now));
         }
         if (!is_reply_received) {
             this->schedule(120'000, [this, edge, program, order, attempt] {
--- a/tests/unit/tenants/tenant_table_test.cc
+++ b/tests/unit/tenants/tenant_table_test.cc
@@ -40,7 +40,7 @@
 
 Test(tenant_table, finds_the_holder_of_a_key) {
     const tenant_table table(two_tenants());
-    cr_assert(table.is_needed());
+    cr_assert(table.requires_keys());
     cr_assert(table.find("key-of-a")->name == "a" && table.find("key-of-b")->name == "b");
     for (const char* key : {"", "key-of-c", "key-of-A", "key-of-a ", "a"}) {
         cr_assert(table.find(key) == nullptr, "%s", key);
@@ -50,8 +50,8 @@
 Test(tenant_table, key_of_two_tenants_belongs_to_the_first_and_is_reported) {
     const tenant_table table(two_tenants());
     cr_assert(table.find("shared")->name == "a");
-    cr_assert(table.shared_keys().size() == 1);
-    cr_assert(table.shared_keys()[0].holder == "a" && table.shared_keys()[0].other == "b");
+    cr_assert(table.duplicate_keys().size() == 1);
+    cr_assert(table.duplicate_keys()[0].owner == "a" && table.duplicate_keys()[0].other == "b");
 }
 
 Test(tenant_table, digest_is_not_accepted_as_key) {
--- a/tests/unit/turns/overload_test.cc
+++ b/tests/unit/turns/overload_test.cc
@@ -155,7 +155,7 @@
         entry.step = this->client.prepare(
             {.wanted = wanted, .budget = 1'000, .previous = {}},
             [this, &entry, wanted](const prepared_turn& prepared) {
-                if (prepared.was_asked) {
+                if (prepared.was_sent) {
                     this->client.settle(wanted);
                 }
                 if (prepared.outcome == turn_outcome::may_run) {
--- a/tests/unit/turns/relaying_caller_test.cc
+++ b/tests/unit/turns/relaying_caller_test.cc
@@ -68,7 +68,7 @@
     const relay_node cut(group.loop, view, true);
     const relay_node peer(group.loop, view);
     cr_assert(group.prepare(request_of(10, 100)).outcome == turn_outcome::unavailable);
-    cr_assert(group.caller->is_cut());
+    cr_assert(group.caller->lacks_majority());
     group.relay_peers = {cut.rpc->local_endpoint(), cut.rpc->local_endpoint()};
     group.relay_peer = peer.rpc->local_endpoint();
     const auto started_at = std::chrono::steady_clock::now();
@@ -117,7 +117,7 @@
         net::testing::run_for(group.loop, milliseconds(300));
     }
     cr_assert(group.caller->relayed_calls() == 0);
-    cr_assert(!group.caller->is_cut());
+    cr_assert(!group.caller->lacks_majority());
 }
 
 Test(relaying_caller, unreachable_members_end_the_turn_in_time) {
@@ -127,13 +127,13 @@
     const auto before = std::chrono::steady_clock::now();
     cr_assert(group.prepare(request_of(10, 100)).outcome == turn_outcome::unavailable);
     cr_assert(std::chrono::steady_clock::now() - before < std::chrono::seconds(10));
-    cr_assert(group.caller->is_cut());
+    cr_assert(group.caller->lacks_majority());
     cr_assert(group.caller->relayed_calls() < 40, "failed relays back off");
 }
 
 Test(relaying_caller, empty_view_is_not_cut) {
     const member_group group({});
-    cr_assert(!group.caller->is_cut());
+    cr_assert(!group.caller->lacks_majority());
 }
 
 Test(relaying_caller, cancelled_turn_does_not_mark_members_silent) {
@@ -142,7 +142,7 @@
         const auto step = group.client->prepare(request_of(10, 100), [](const prepared_turn&) {});
     }
     net::testing::run_for(group.loop, milliseconds(400));
-    cr_assert(!group.caller->is_cut());
+    cr_assert(!group.caller->lacks_majority());
 }
 
 Test(relaying_caller, peer_relays_only_known_methods_to_known_members) {
--- a/tests/unit/turns/turn_admission_test.cc
+++ b/tests/unit/turns/turn_admission_test.cc
@@ -50,10 +50,10 @@
           }) {}
 
     std::unique_ptr<turn_operation> admit(const std::string& turn,
-                                          base::instant aim = base::instant::max()) {
+                                          base::instant deadline = base::instant::max()) {
         turn_request request;
         request.wanted.turn = turn_id(turn);
-        request.aim = aim;
+        request.deadline = deadline;
         return this->admission.admit(std::move(request), [this, turn](const prepared_turn& result) {
             this->ended.push_back(turn + " " + std::string(to_string(result.outcome)));
             this->last = result;
@@ -124,7 +124,7 @@
     cr_assert(second->has_begun());
     cr_assert(fixture.begun == (std::vector<std::string>{"a", "b"}));
     fixture.reply_next();
-    cr_assert(fixture.last.was_asked && fixture.last.waited == milliseconds{20});
+    cr_assert(fixture.last.was_sent && fixture.last.queue_time == milliseconds{20});
 }
 
 Test(turn_admission, program_within_deadline_precedes_late_program) {
@@ -152,15 +152,15 @@
 
 Test(turn_admission, turn_over_max_queue_time_is_rejected_without_requests) {
     admission_options options = one_at_a_time();
-    options.longest_wait = milliseconds{20};
+    options.max_queue_time = milliseconds{20};
     admission_fixture fixture(options);
     const auto under_way = fixture.admit("a");
     const auto waits = fixture.admit("b");
     cr_assert(run_until(fixture.loop, [&] { return !fixture.ended.empty(); }));
     cr_assert(fixture.ended.front() == "b storage_overloaded");
-    cr_assert(!fixture.last.was_asked && fixture.last.retry_after.count() > 0);
+    cr_assert(!fixture.last.was_sent && fixture.last.retry_after.count() > 0);
     cr_assert(fixture.begun == std::vector<std::string>{"a"});
-    cr_assert(fixture.admission.turned_away() == 1);
+    cr_assert(fixture.admission.rejected() == 1);
 }
 
 // Turns end every 100 ms and eleven turns wait: the twelfth would exceed the maximum queue time.
--- a/tests/unit/turns/turn_client_test.cc
+++ b/tests/unit/turns/turn_client_test.cc
@@ -137,7 +137,7 @@
     member_group fleet({{}, {}, {}, {}, {}, {}}, 3);
     const auto prepared = fleet.prepare(request_to_second(fleet.view, "before"));
     cr_assert(prepared.outcome == turn_outcome::may_run);
-    cr_assert(prepared.copied.empty());
+    cr_assert(prepared.copied_records.empty());
 
     bool stored = false;
     finish_request request;
@@ -185,9 +185,9 @@
     const auto prepared = fleet.prepare(request_to_second(fleet.view, "before"));
     cr_assert(prepared.outcome == turn_outcome::may_run);
     cr_assert(prepared.chain_text == "asked;said;asked again;said again;");
-    cr_assert(prepared.copied.size() == 2);
-    cr_assert(prepared.copied[1].previous == turn_id("first"));
-    for (const turn_record& record : prepared.copied) {
+    cr_assert(prepared.copied_records.size() == 2);
+    cr_assert(prepared.copied_records[1].previous == turn_id("first"));
+    for (const turn_record& record : prepared.copied_records) {
         cr_assert(record.program == program_in(fleet.view, 1), "kept by the group that copies it");
     }
     cr_assert(fleet.members.front().reservations == 0, "only the program's group reserves");
--- a/tests/unit/turns/turn_index_test.cc
+++ b/tests/unit/turns/turn_index_test.cc
@@ -101,7 +101,7 @@
 
 Test(turn_index, reservations_are_kept_for_configured_time) {
     turn_index index({});
-    index.keep_reservations_for(seconds{75});
+    index.set_reservation_retention(seconds{75});
     index.add(reservation_of(index, "a", 50, false), {});
     index.add(reservation_of(index, "b", 50, false), base::instant{seconds{70}});
     index.expire(base::instant{seconds{144}});
@@ -164,7 +164,7 @@
     const seconds length{wanted == nullptr ? 400 : std::atoi(wanted)};
     const double before = megabytes_in_use();
     busy_member member;
-    member.index.keep_reservations_for(seconds{90});
+    member.index.set_reservation_retention(seconds{90});
     member.run_until(seconds{200});
     const double filled = megabytes_in_use() - before;
     member.run_until(length);
