--- a/src/pearbarrow/placement/call_queue.cc
+++ b/src/pearbarrow/placement/call_queue.cc
@@ -98,7 +98,7 @@
     }
 }
 
-std::vector<base::attempt_id> call_queue::past_deadline(base::instant now) const {
+std::vector<base::attempt_id> call_queue::expired_calls(base::instant now) const {
     std::vector<base::attempt_id> passed;
     for (const auto& [deadline, sequence] : deadlines_) {
         if (deadline > now) {
--- a/src/pearbarrow/placement/call_queue.h
+++ b/src/pearbarrow/placement/call_queue.h
@@ -1,5 +1,6 @@
-/// The calls that wait in a cell, in order: past the starvation bound first, then by priority, then
-/// tenants within their share, then by the program's key. Every operation takes O(log n).
+/// Priority queue of the calls that wait in a cell. Calls past the starvation bound come first; the
+/// others are ordered by priority, then tenants within their share before tenants over it, then by
+/// the program's order key. Every operation takes O(log n).
 #pragma once
 
 #include <compare>
@@ -24,13 +25,13 @@
 
 class class_statistics;
 
-/// Position of a call; smaller goes first.
+/// Sort key of a waiting call; the smallest key is granted first.
 struct queue_key {
-    /// 0: past the starvation bound, 1: others.
+    /// 0 for calls past the starvation bound, 1 for all others.
     std::uint8_t band = 1;
     /// Negated priority.
     std::int32_t priority = 0;
-    /// 1 when the tenant has had more than its share of late.
+    /// 1 when the tenant has recently used more than its share.
     std::uint8_t over_share = 0;
     double order = 0;
     std::uint64_t sequence = 0;
@@ -38,21 +39,21 @@
     auto operator<=>(const queue_key&) const = default;
 };
 
-/// A call that waits.
+/// A call that waits for a grant.
 struct waiting_call {
     wire::placement_offer offer;
     queue_key key;
-    /// When the call came in, counted with the time before this offer.
+    /// Arrival time of the call, including the time it waited before this offer.
     base::instant waiting_since;
     /// None when the caller set no deadline.
     std::optional<base::instant> deadline;
-    /// Engines that rules, model and context length permit.
+    /// Engines that the rules, the model and the context length permit.
     engine_mask permitted = 0;
     /// The first call of a program that has no parent.
     bool opens_program = false;
-    /// What the configuration says of the program, as of the last change.
+    /// Rules of the program under the current configuration.
     program_rules rules;
-    /// Of the program's class; outlives the call.
+    /// Statistics of the program's class; they outlive the call.
     class_statistics* statistics = nullptr;
 };
 
@@ -72,7 +73,7 @@
     const waiting_call* find(const base::attempt_id& attempt) const;
     std::size_t size() const { return calls_.size(); }
 
-    /// Calls that go before this key, over all engines.
+    /// Number of calls with a smaller key, over all engines.
     std::size_t ahead_of(const queue_key& key) const { return all_.order_of_key(key); }
     /// Moves a call to a new position.
     void change_key(const base::attempt_id& attempt, queue_key key);
@@ -83,17 +84,17 @@
     /// Moves calls that have waited since before `bound` to the front.
     void promote_starved(base::instant bound);
     /// Attempts whose deadline is at or before `now`.
-    std::vector<base::attempt_id> past_deadline(base::instant now) const;
+    std::vector<base::attempt_id> expired_calls(base::instant now) const;
     std::vector<base::attempt_id> attempts() const;
 
-    /// Reads the queue in order, only calls that may use one of the `open` engines, passing over
-    /// calls that were looked at.
+    /// Iterates in queue order over the calls that may use one of the `open` engines. Each call is
+    /// returned once.
     class cursor {
       public:
         cursor(const call_queue& queue, engine_mask open);
         /// The next call, or null at the end. `open` may shrink between steps.
         const waiting_call* next(engine_mask open);
-        /// Passes over all calls that open a program from here on.
+        /// Skips all further calls that open a program.
         void skip_openers() { skip_openers_ = true; }
 
       private:
@@ -111,7 +112,7 @@
     using ordered =
         __gnu_pbds::tree<queue_key, Mapped, std::less<queue_key>, __gnu_pbds::rb_tree_tag,
                          __gnu_pbds::tree_order_statistics_node_update>;
-    /// Calls that may use the same engines, those that open a program apart.
+    /// Calls that may use the same engines. Calls that open a program have separate lanes.
     using lane = std::map<queue_key, waiting_call*>;
 
     void link(waiting_call& call);
@@ -120,7 +121,7 @@
     absl::flat_hash_map<base::attempt_id, std::unique_ptr<waiting_call>> calls_;
     ordered<__gnu_pbds::null_type> all_;
     std::map<lane_key, lane> lanes_;
-    /// By arrival; only calls not yet past the starvation bound.
+    /// Calls not yet past the starvation bound, by arrival time.
     std::set<std::pair<base::instant, std::uint64_t>> arrivals_;
     std::map<std::uint64_t, waiting_call*> by_sequence_;
     std::set<std::pair<base::instant, std::uint64_t>> deadlines_;
--- a/src/pearbarrow/placement/cell_scheduler.cc
+++ b/src/pearbarrow/placement/cell_scheduler.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr base::milliseconds housekeeping_interval{1'000};
-/// A paused program unheard of for this long is forgotten.
+/// A program that has paused for longer than this is no longer tracked.
 constexpr base::seconds longest_pause{900};
-constexpr std::size_t most_paused_programs = 65'536;
+constexpr std::size_t max_paused_programs = 65'536;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     return std::exchange(actions_, {});
 }
 
-bool cell_scheduler::state::taking_over(base::instant now) const {
+bool cell_scheduler::state::in_take_over(base::instant now) const {
     return now - *first_event_ < options_.take_over_time;
 }
 
@@ -50,7 +50,7 @@
         }
     }
     for (auto& [tenant, state] : tenants_) {
-        state.held_back.clear();
+        state.throttled.clear();
     }
     dispatch(now);
 }
@@ -60,7 +60,7 @@
     if (queue_.find(offer.attempt) != nullptr || engines_.runs(offer.attempt)) {
         return;
     }
-    learn_pause(offer, now);
+    record_pause(offer, now);
     const program_rules& rules = rules_.find(offer);
     waiting_call call;
     call.offer = offer;
@@ -99,7 +99,7 @@
     outcome.reason = std::string(reason::withdrawn);
     refuse(call->offer, outcome);
     shares_.add_active(call->offer.tenant, rules_.find(call->offer).tenant_weight, -1);
-    forget_idle_tenant(call->offer.tenant);
+    remove_idle_tenant(call->offer.tenant);
 }
 
 void cell_scheduler::state::handle(const finished_event& event, base::instant now) {
@@ -107,9 +107,9 @@
     if (const auto call = engines_.remove(finished.attempt)) {
         add_tenant_tokens(call->offer.tenant, -static_cast<std::int64_t>(call->held_tokens));
         shares_.add_active(call->offer.tenant, rules_.find(call->offer).tenant_weight, -1);
-        finish_use(*call, finished, now);
-        free_held_back(call->offer.tenant, now);
-        forget_idle_tenant(call->offer.tenant);
+        record_finished_call(*call, finished, now);
+        resume_throttled(call->offer.tenant, now);
+        remove_idle_tenant(call->offer.tenant);
     }
     if (finished.program_ended) {
         handle(program_ended_event{finished.program}, now);
@@ -118,9 +118,9 @@
     dispatch(now);
 }
 
-void cell_scheduler::state::finish_use(const running_call& call,
-                                       const wire::placement_finished& finished,
-                                       base::instant now) {
+void cell_scheduler::state::record_finished_call(const running_call& call,
+                                                 const wire::placement_finished& finished,
+                                                 base::instant now) {
     const double taken_us = finished.service_us > 0
                                 ? static_cast<double>(finished.service_us)
                                 : static_cast<double>((now - call.granted_at).count());
@@ -137,7 +137,7 @@
                               now + call.pin_lease);
     working_set_.put(finished.program, *call.engine,
                      finished.history_tokens - std::min(shared, finished.history_tokens), now);
-    if (paused_.size() < most_paused_programs) {
+    if (paused_.size() < max_paused_programs) {
         paused_[finished.program] = {now, call.offer.program_class, finished.next_tool};
     }
 }
@@ -158,7 +158,7 @@
     call.granted_at = now - base::milliseconds(registration.running_ms);
     call.held_tokens = offer.prompt_tokens + offer.max_output_tokens;
     if (call.engine) {
-        remember_prefixes(offer, *call.engine, now);
+        record_prefixes(offer, *call.engine, now);
     }
     add_tenant_tokens(offer.tenant, static_cast<std::int64_t>(call.held_tokens));
     shares_.add_active(offer.tenant, rules_.find(offer).tenant_weight, 1);
@@ -190,12 +190,12 @@
 void cell_scheduler::state::handle(const program_ended_event& event, base::instant now) {
     directory_.forget_program(event.program);
     working_set_.remove(event.program);
-    learn_end(event.program);
-    // Memory that the program held may let another one open.
+    record_program_end(event.program);
+    // The freed memory may allow another program to open.
     dispatch(now);
 }
 
-void cell_scheduler::state::learn_end(const base::program_id& program) {
+void cell_scheduler::state::record_program_end(const base::program_id& program) {
     const auto found = paused_.find(program);
     if (found == paused_.end()) {
         return;
@@ -207,7 +207,7 @@
 }
 
 void cell_scheduler::state::handle(const tick_event& event, base::instant now) {
-    refuse_passed_deadlines(now);
+    refuse_expired_calls(now);
     if (now - last_housekeeping_ >= housekeeping_interval) {
         last_housekeeping_ = now;
         engines_.check_overdue(now);
@@ -218,7 +218,7 @@
     dispatch(now);
 }
 
-void cell_scheduler::state::learn_pause(const wire::placement_offer& offer, base::instant now) {
+void cell_scheduler::state::record_pause(const wire::placement_offer& offer, base::instant now) {
     class_statistics& statistics = classes_[offer.program_class];
     statistics.add_offer(offer.calls_done);
     const auto found = paused_.find(offer.program);
@@ -231,13 +231,13 @@
     paused_.erase(found);
 }
 
-void cell_scheduler::state::refuse_passed_deadlines(base::instant now) {
-    for (const base::attempt_id& attempt : queue_.past_deadline(now)) {
+void cell_scheduler::state::refuse_expired_calls(base::instant now) {
+    for (const base::attempt_id& attempt : queue_.expired_calls(now)) {
         const auto call = dequeue(attempt);
         gather(*call, false, now);
         refuse(call->offer, decide(inputs_));
         shares_.add_active(call->offer.tenant, rules_.find(call->offer).tenant_weight, -1);
-        forget_idle_tenant(call->offer.tenant);
+        remove_idle_tenant(call->offer.tenant);
     }
 }
 
@@ -262,14 +262,14 @@
             continue;
         }
         if (result == attempt_result::waits_for_memory) {
-            // Programs under way must go on, or the memory never becomes free; but no other
-            // program may be opened before this one.
+            // Active programs must continue, otherwise the memory is never freed. No other program
+            // may open before this one.
             cursor.skip_openers();
             continue;
         }
         ++passed_over;
         if (starved) {
-            // Nothing may take the room that a starved call waits for.
+            // Reserves the capacity that a starved call waits for.
             open &= ~permitted;
         }
     }
@@ -289,7 +289,7 @@
     const quick_outcome outcome = decide_quickly(inputs_);
     if (outcome.kind == decision_kind::waiting) {
         if (outcome.reason == reason::waiting_for_tenant_limit) {
-            hold_back(call);
+            throttle(call);
             return attempt_result::moved;
         }
         return outcome.reason == reason::waiting_for_memory ? attempt_result::waits_for_memory
--- a/src/pearbarrow/placement/class_statistics.cc
+++ b/src/pearbarrow/placement/class_statistics.cc
@@ -8,16 +8,16 @@
 
 constexpr double first_bucket_seconds = 0.05;
 constexpr double bucket_growth = 1.5;
-/// Counts are halved when this many observations have come together.
-constexpr double fading_limit = 4000;
-/// Weight of the newest call in the running means.
+/// Counts are halved when they reach this number of observations.
+constexpr double decay_threshold = 4000;
+/// Minimum weight of the newest call in the moving averages.
 constexpr double mean_weight = 0.02;
-/// Assumed before anything is known.
+/// Defaults before the first observation.
 constexpr double prior_service_us = 2'000'000;
 constexpr double prior_output_tokens = 200;
 constexpr double prior_calls = 4;
-/// Observations below which the pauses of a class say nothing.
-constexpr double least_pauses = 8;
+/// Minimum number of observations for an estimate from the pauses of a class.
+constexpr double min_pause_observations = 8;
 
 void update_mean(double& mean, double value, double observations) {
     const double weight = std::max(mean_weight, 1 / (observations + 1));
@@ -33,7 +33,7 @@
 void pause_distribution::add(double& counter) {
     counter += 1;
     total_ += 1;
-    if (total_ < fading_limit) {
+    if (total_ < decay_threshold) {
         return;
     }
     total_ /= 2;
@@ -52,21 +52,21 @@
     add(returns_[bucket]);
 }
 
-base::microseconds pause_distribution::worthwhile_wait(double least_rate,
-                                                       base::microseconds longest) const {
-    if (total_ < least_pauses) {
+base::microseconds pause_distribution::retention_time(double min_return_rate,
+                                                      base::microseconds longest) const {
+    if (total_ < min_pause_observations) {
         return longest / 4;
     }
     double kept = 0;
     double begin = 0;
-    double staying = total_;
+    double remaining = total_;
     for (std::size_t bucket = 0; bucket < bucket_count; ++bucket) {
         const double end = bucket_end_seconds(bucket);
-        const double rate = staying > 0 ? returns_[bucket] / staying / (end - begin) : 0;
-        if (rate >= least_rate) {
+        const double rate = remaining > 0 ? returns_[bucket] / remaining / (end - begin) : 0;
+        if (rate >= min_return_rate) {
             kept = end;
         }
-        staying -= returns_[bucket];
+        remaining -= returns_[bucket];
         begin = end;
     }
     const auto wait = base::microseconds(static_cast<std::int64_t>(kept * 1e6));
@@ -80,7 +80,7 @@
 void class_statistics::add_offer(std::uint32_t calls_done) {
     reached_[position(calls_done)] += 1;
     offers_ += 1;
-    if (offers_ < fading_limit) {
+    if (offers_ < decay_threshold) {
         return;
     }
     offers_ /= 2;
--- a/src/pearbarrow/placement/class_statistics.h
+++ b/src/pearbarrow/placement/class_statistics.h
@@ -1,5 +1,5 @@
-/// What is learned online about each program class: calls in a program, time and output of a call,
-/// and the pause between two calls. Old observations fade.
+/// Online statistics of each program class: calls per program, service time and output of a call,
+/// and the pause between two calls. Old observations decay.
 #pragma once
 
 #include <array>
@@ -11,15 +11,16 @@
 
 namespace pearbarrow::placement {
 
-/// Lengths of pauses in buckets that grow by a factor of 1.5, from 50 ms.
+/// Histogram of pause lengths. Bucket bounds grow by a factor of 1.5 from 50 ms.
 class pause_distribution {
   public:
     void add_return(base::microseconds pause);
-    /// The program ended: it never returned.
+    /// Records that the program ended instead of returning.
     void add_end() { add(ended_); }
-    /// How long keeping a prefix for a paused program is worth it: up to the last bucket in which
-    /// the chance of a return in each second, given none until then, is at least `least_rate`.
-    base::microseconds worthwhile_wait(double least_rate, base::microseconds longest) const;
+    /// Time for which the prefix of a paused program is worth keeping: the end of the last bucket
+    /// in which the hazard rate of a return (per second, given none so far) is at least
+    /// `min_return_rate`.
+    base::microseconds retention_time(double min_return_rate, base::microseconds longest) const;
     double observations() const { return total_; }
 
   private:
@@ -35,11 +36,11 @@
 /// Statistics of one class.
 class class_statistics {
   public:
-    /// A call of a program with `calls_done` finished calls was offered.
+    /// Records an offer of a program with `calls_done` finished calls.
     void add_offer(std::uint32_t calls_done);
     void add_call(double service_us, double output_tokens);
 
-    /// Expected time on engines of the call at hand and all that follow it.
+    /// Expected service time of the current call and all later calls of the program.
     double expected_remaining_us(std::uint32_t calls_done) const;
     double expected_output_tokens(std::uint32_t most) const;
 
@@ -51,7 +52,7 @@
     static constexpr std::size_t position_count = 64;
     static std::size_t position(std::uint32_t calls_done);
 
-    /// Offers seen at each number of finished calls (the last one holds all above).
+    /// Offers by number of finished calls; the last entry counts all higher numbers.
     std::array<double, position_count> reached_{};
     double offers_ = 0;
     double calls_ = 0;
--- a/src/pearbarrow/placement/decision.cc
+++ b/src/pearbarrow/placement/decision.cc
@@ -14,15 +14,15 @@
 namespace {
 
 constexpr double us_per_ms = 1000;
-/// How much the slowing of the calls already on an engine counts beside the call's own time.
-constexpr double crowding_weight = 1.0;
-/// Waiting for a full engine must be better than starting now by this factor.
+/// Weight of the slowdown of other calls on the engine relative to the call's own time.
+constexpr double interference_weight = 1.0;
+/// Waiting for a full engine must be better than an immediate start by this factor.
 constexpr double wait_advantage = 1.1;
-/// A refusal for a full queue asks to come back when this part of it has drained.
-constexpr double drained_part = 0.25;
-constexpr std::uint64_t shortest_retry_ms = 100;
-constexpr std::uint64_t longest_retry_ms = 60'000;
-/// Assumed where the queue's rate is not known yet.
+/// The retry delay of a refusal for a full queue is the time in which this fraction of it drains.
+constexpr double drained_fraction = 0.25;
+constexpr std::uint64_t min_retry_ms = 100;
+constexpr std::uint64_t max_retry_ms = 60'000;
+/// Retry delay while the drain rate of the queue is unknown.
 constexpr std::uint64_t unknown_rate_retry_ms = 1'000;
 
 bool is_permanent(const std::string& exclusion) {
@@ -31,12 +31,11 @@
 }
 
 std::uint64_t bounded_retry(double milliseconds) {
-    return static_cast<std::uint64_t>(std::clamp(milliseconds,
-                                                 static_cast<double>(shortest_retry_ms),
-                                                 static_cast<double>(longest_retry_ms)));
+    return static_cast<std::uint64_t>(std::clamp(milliseconds, static_cast<double>(min_retry_ms),
+                                                 static_cast<double>(max_retry_ms)));
 }
 
-/// Time until `calls` calls have left the queue at its present rate.
+/// Time until `calls` calls have left the queue at the current rate.
 std::uint64_t drain_time_ms(double calls, double grants_per_second) {
     if (grants_per_second <= 0) {
         return unknown_rate_retry_ms;
@@ -54,11 +53,11 @@
     const std::uint64_t needed =
         tokens_needed(inputs) -
         std::min<std::uint64_t>(candidate.shared_tokens, inputs.prompt_tokens);
-    // A call that needs the whole memory runs alone.
+    // A call that needs the whole memory is executed alone.
     return candidate.in_flight == 0 || candidate.tokens_in_flight + needed <= candidate.token_limit;
 }
 
-/// Time of the call itself on an idle place of the engine.
+/// Service time of the call on the engine, without queueing.
 double service_us(const decision_inputs& inputs, const candidate_input& candidate) {
     const double uncached =
         inputs.prompt_tokens - std::min(candidate.cached_tokens, inputs.prompt_tokens);
@@ -68,8 +67,8 @@
            (uncached * candidate.prefill_us_per_token + inputs.expected_output_tokens * token_us);
 }
 
-/// What the call takes from the calls already on the engine, summed over them.
-double crowding_us(const decision_inputs& inputs, const candidate_input& candidate) {
+/// Total delay that the call causes to the calls already on the engine.
+double interference_us(const decision_inputs& inputs, const candidate_input& candidate) {
     const double uncached =
         inputs.prompt_tokens - std::min(candidate.cached_tokens, inputs.prompt_tokens);
     const double each = uncached * candidate.prefill_us_per_token +
@@ -84,21 +83,21 @@
     const double recomputed = (inputs.prompt_tokens - cached) * candidate.prefill_us_per_token;
     return inputs.latency_weight *
                (candidate.expected_wait_us + backlog + service_us(inputs, candidate) +
-                crowding_weight * crowding_us(inputs, candidate)) +
+                interference_weight * interference_us(inputs, candidate)) +
            inputs.cache_weight * recomputed * candidate.slowdown;
 }
 
-using verdict = quick_outcome;
+using evaluation = quick_outcome;
 
-verdict refused(std::string_view reason, std::uint64_t retry_after_ms) {
+evaluation refused(std::string_view reason, std::uint64_t retry_after_ms) {
     return {decision_kind::refused, reason, std::nullopt, retry_after_ms};
 }
 
-verdict waiting(std::string_view reason) {
+evaluation waiting(std::string_view reason) {
     return {decision_kind::waiting, reason, {}, 0};
 }
 
-std::optional<verdict> check_eligibility(const decision_inputs& inputs) {
+std::optional<evaluation> check_eligibility(const decision_inputs& inputs) {
     bool denied = false;
     bool too_long = false;
     for (const candidate_input& candidate : inputs.candidates) {
@@ -114,23 +113,24 @@
     return refused(denied ? reason::denied_by_rule : reason::no_eligible_engine, 0);
 }
 
-/// Bounds on the queue, checked only when the call arrives.
-std::optional<verdict> check_queue(const decision_inputs& inputs) {
+/// Checks the queue limits, which apply only on arrival.
+std::optional<evaluation> check_queue(const decision_inputs& inputs) {
     if (!inputs.on_arrival) {
         return std::nullopt;
     }
     if (inputs.tenant_queue_limit > 0 && inputs.tenant_queued >= inputs.tenant_queue_limit) {
-        return refused(reason::tenant_queue_full, drain_time_ms(drained_part * inputs.tenant_queued,
-                                                                inputs.grants_per_second));
+        return refused(
+            reason::tenant_queue_full,
+            drain_time_ms(drained_fraction * inputs.tenant_queued, inputs.grants_per_second));
     }
     if (inputs.queue_length >= inputs.queue_limit) {
-        return refused(reason::queue_full,
-                       drain_time_ms(drained_part * inputs.queue_length, inputs.grants_per_second));
+        return refused(reason::queue_full, drain_time_ms(drained_fraction * inputs.queue_length,
+                                                         inputs.grants_per_second));
     }
     return std::nullopt;
 }
 
-std::optional<verdict> check_deadline(const decision_inputs& inputs) {
+std::optional<evaluation> check_deadline(const decision_inputs& inputs) {
     if (!inputs.has_deadline) {
         return std::nullopt;
     }
@@ -160,7 +160,7 @@
                    queue_us > 0 ? bounded_retry(queue_us / us_per_ms) : 0);
 }
 
-/// Whether a program may be opened on the engine without driving out the prefixes of others.
+/// Whether a program can open on the engine without evicting the prefixes of others.
 bool has_memory(const decision_inputs& inputs, const candidate_input& candidate) {
     return !inputs.opens_program || candidate.working_set_limit == 0 ||
            candidate.working_set == 0 ||
@@ -174,8 +174,8 @@
            has_memory(inputs, candidate);
 }
 
-verdict choose(const decision_inputs& inputs) {
-    bool memory_lacks = false;
+evaluation choose(const decision_inputs& inputs) {
+    bool lacks_memory = false;
     std::optional<std::size_t> best;
     std::optional<std::size_t> best_open;
     double best_us = std::numeric_limits<double>::infinity();
@@ -191,13 +191,13 @@
             best_us = expected;
         }
         const bool open = can_start(inputs, candidate);
-        memory_lacks = memory_lacks || !has_memory(inputs, candidate);
+        lacks_memory = lacks_memory || !has_memory(inputs, candidate);
         if (open && expected < best_open_us) {
             best_open = index;
             best_open_us = expected;
         }
     }
-    if (!best_open && memory_lacks) {
+    if (!best_open && lacks_memory) {
         return waiting(reason::waiting_for_memory);
     }
     if (!best_open) {
@@ -216,7 +216,7 @@
             cached ? reason::placed_on_cached_prefix : reason::placed_least_wait, best_open, 0};
 }
 
-verdict judge(const decision_inputs& inputs) {
+evaluation evaluate(const decision_inputs& inputs) {
     if (const auto result = check_eligibility(inputs)) {
         return *result;
     }
@@ -226,7 +226,8 @@
     const bool over_limit =
         inputs.tenant_token_limit > 0 && inputs.tenant_tokens_in_flight > 0 &&
         inputs.tenant_tokens_in_flight + tokens_needed(inputs) > inputs.tenant_token_limit;
-    const verdict chosen = over_limit ? waiting(reason::waiting_for_tenant_limit) : choose(inputs);
+    const evaluation chosen =
+        over_limit ? waiting(reason::waiting_for_tenant_limit) : choose(inputs);
     if (chosen.kind == decision_kind::waiting) {
         if (const auto result = check_queue(inputs)) {
             return *result;
@@ -269,11 +270,11 @@
 }
 
 quick_outcome decide_quickly(const decision_inputs& inputs) {
-    return judge(inputs);
+    return evaluate(inputs);
 }
 
 decision_outcome decide(const decision_inputs& inputs) {
-    const verdict result = judge(inputs);
+    const evaluation result = evaluate(inputs);
     decision_outcome outcome;
     outcome.kind = result.kind;
     outcome.reason = std::string(result.reason);
@@ -297,7 +298,7 @@
 
 absl::Status verify(const decision_record& record) {
     if (record.outcome.reason == reason::withdrawn) {
-        return absl::OkStatus();  // its owner's decision, not the scheduler's
+        return absl::OkStatus();  // the owner withdrew the call; the scheduler did not decide
     }
     const std::string difference = first_difference(record.outcome, redecide(record));
     if (difference.empty()) {
--- a/src/pearbarrow/placement/decision.h
+++ b/src/pearbarrow/placement/decision.h
@@ -1,6 +1,6 @@
-/// Records of placement decisions: everything that a decision looked at, what came out, and the
-/// reason code. `redecide` runs the decision function again on the recorded inputs, so that anyone
-/// can check an answer after owner and dispatcher have been replaced.
+/// Records of placement decisions: the inputs, the outcome and the reason code. `redecide` runs the
+/// decision function again on the recorded inputs, so that a decision can be verified after its
+/// owner and dispatcher have been replaced.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 enum class decision_kind : std::uint8_t { granted = 0, refused = 1, waiting = 2 };
 
-/// Stable codes of why a decision came out as it did.
+/// Stable reason codes of decisions.
 namespace reason {
 inline constexpr std::string_view placed_on_cached_prefix = "placed_on_cached_prefix";
 inline constexpr std::string_view placed_least_wait = "placed_least_wait";
@@ -38,7 +38,7 @@
 inline constexpr std::string_view withdrawn = "withdrawn";
 }  // namespace reason
 
-/// One engine as the decision saw it.
+/// Input of a decision about one engine.
 struct candidate_input {
     base::backend_id backend;
     /// False when a rule, the model, the engine's state or an earlier failure excludes it;
@@ -47,26 +47,26 @@
     std::string exclusion;
     std::uint32_t in_flight = 0;
     std::uint32_t in_flight_limit = 0;
-    /// Tokens of context that calls in flight hold, and that may be held.
+    /// Context tokens of the calls in flight, and their limit.
     std::uint64_t tokens_in_flight = 0;
     std::uint64_t token_limit = 0;
-    /// Prompt tokens not yet computed by the calls in flight.
+    /// Prompt tokens of the calls in flight that are not prefilled yet.
     std::uint64_t prefill_backlog = 0;
-    /// Prompt tokens that this call would find in the engine's cache, as far as known.
+    /// Prompt tokens of this call that the engine is believed to have cached.
     std::uint32_t cached_tokens = 0;
-    /// Of these, tokens that calls in flight hold already (shared prefixes, counted once).
+    /// Cached tokens that calls in flight already hold (shared prefixes, counted once).
     std::uint32_t shared_tokens = 0;
-    /// Tokens of programs under way on the engine, running or in a short pause, and the bound above
-    /// which no new program is opened there; 0: no bound.
+    /// Tokens of the active programs on the engine (running or in a short pause), and the limit
+    /// above which no new program opens there; 0 for no limit.
     std::uint64_t working_set = 0;
     std::uint64_t working_set_limit = 0;
-    /// Prefill and decode speeds as learned from finished calls.
+    /// Nominal prefill and decode speeds of the engine.
     double prefill_us_per_token = 0;
     double decode_us_per_token = 0;
     double decode_us_per_sequence = 0;
-    /// Factor by which the engine has been slower than these speeds of late; 1 when on par.
+    /// Factor by which the engine has recently been slower than these speeds; 1 when equal.
     double slowdown = 1;
-    /// Expected wait until a place for this call is free; 0 when there is one.
+    /// Expected wait until the engine has capacity for this call; 0 when it has.
     double expected_wait_us = 0;
     /// Age of the engine's last load report.
     std::uint64_t report_age_ms = 0;
@@ -78,7 +78,7 @@
                    decode_us_per_sequence, slowdown, expected_wait_us, report_age_ms, report_known);
 };
 
-/// Everything that `decide` looks at.
+/// All inputs of `decide`.
 struct decision_inputs {
     base::config_version configuration;
     base::attempt_id attempt;
@@ -91,7 +91,7 @@
 
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_output_tokens = 0;
-    /// Output tokens that calls of this class turned out to need.
+    /// Expected output tokens, from finished calls of the program class.
     double expected_output_tokens = 0;
     /// The first call of a program that has no parent.
     bool opens_program = false;
@@ -101,23 +101,23 @@
     std::uint64_t waited_ms = 0;
     std::uint64_t attained_tokens = 0;
     double expected_remaining_us = 0;
-    /// Position in the queue's order: lower goes first. `starved` calls go before all others.
+    /// Order key in the queue; lower goes first. `starved` calls go before all others.
     double order_key = 0;
     bool starved = false;
     std::uint32_t queue_length = 0;
     std::uint32_t queue_limit = 0;
-    /// Calls before this one in the queue when it was decided.
+    /// Calls ahead of this one in the queue at the time of the decision.
     std::uint32_t ahead = 0;
-    /// Grants a second over the last while; 0 when unknown.
+    /// Recent grants per second; 0 when unknown.
     double grants_per_second = 0;
     /// How long a call may wait for the engine that holds its prefix.
     std::uint64_t affinity_wait_ms = 0;
-    /// Tokens of the tenant in flight in this cell, and the bound; 0: none.
+    /// Tokens of the tenant in flight in this cell, and their limit; 0 for no limit.
     std::uint64_t tenant_tokens_in_flight = 0;
     std::uint64_t tenant_token_limit = 0;
     std::uint32_t tenant_queued = 0;
     std::uint32_t tenant_queue_limit = 0;
-    /// Weights of the matched rule, see config/objects.h.
+    /// Weights of the matched rule (see config/objects.h).
     double latency_weight = 1;
     double cache_weight = 0.5;
     /// The decision was made when the call was offered, before it entered the queue.
@@ -148,14 +148,14 @@
     std::string reason;
     /// Set when granted: the chosen engine.
     base::backend_id backend;
-    /// Set when refused: when the caller may usefully come back; 0 when repeating can't help.
+    /// Delay until a retry may succeed, set when refused; 0 when a retry cannot succeed.
     std::uint64_t retry_after_ms = 0;
     std::vector<candidate_score> scores;
 
     MSGPACK_DEFINE(kind, reason, backend, retry_after_ms, scores);
 };
 
-/// What is kept in memory and journaled with the call.
+/// A decision that is kept in memory and journaled with the call.
 struct decision_record {
     std::uint32_t format = 1;
     decision_inputs inputs;
@@ -168,7 +168,7 @@
 /// of the queue and for a new offer.
 decision_outcome decide(const decision_inputs& inputs);
 
-/// The outcome without texts and scores: what the scheduler needs on its way through the queue.
+/// Outcome without texts and scores, for the scan of the queue.
 struct quick_outcome {
     decision_kind kind = decision_kind::waiting;
     std::string_view reason;
@@ -179,21 +179,22 @@
 /// The same decision as `decide`, without allocating.
 quick_outcome decide_quickly(const decision_inputs& inputs);
 
-/// Decides again from the record. Ok when the outcome is the recorded one; otherwise a
-/// kDataLoss status, reason `decision_differs`, that names the first difference.
+/// Runs the decision again on the record. Returns ok when the outcome equals the recorded one;
+/// otherwise a kDataLoss status with reason `decision_differs` that names the first difference.
 absl::Status verify(const decision_record& record);
 
 /// Runs `decide` on the recorded inputs.
 decision_outcome redecide(const decision_record& record);
 
 std::string encode_record(const decision_record& record);
-/// kInvalidArgument, reason `malformed_message`, when the bytes are no record.
+/// Fails with kInvalidArgument, reason `malformed_message`, when the bytes are not a valid record.
 absl::StatusOr<decision_record> decode_record(std::string_view bytes);
 
-/// The record in words: rules matched, candidates with scores, ages of the inputs, what the call
-/// waited for, and what would have changed the outcome. Several lines, each ended by a newline.
+/// Describes the record as text: matched rules, candidates with scores, ages of the inputs, the
+/// reason for waiting, and input changes that would alter the outcome. Each line ends with a
+/// newline.
 std::string explain(const decision_record& record);
-/// The same as JSON text.
+/// Describes the record as JSON.
 std::string explain_json(const decision_record& record);
 
 std::string_view to_string(decision_kind kind);
--- a/src/pearbarrow/placement/engine_table.cc
+++ b/src/pearbarrow/placement/engine_table.cc
@@ -6,14 +6,14 @@
 namespace pearbarrow::placement {
 namespace {
 
-/// Weight of the newest call in an engine's slowdown and mean time.
-constexpr double learning_weight = 0.1;
-constexpr double least_slowdown = 0.25;
-constexpr double most_slowdown = 50;
-/// A call is overdue when it has run this many times longer than expected.
+/// Weight of the newest call in the moving averages of slowdown and service time.
+constexpr double moving_average_weight = 0.1;
+constexpr double min_slowdown = 0.25;
+constexpr double max_slowdown = 50;
+/// A call is overdue when its execution takes this many times longer than expected.
 constexpr double overdue_factor = 3;
-/// Part of an engine's calls that must be overdue before the engine counts as slow.
-constexpr double overdue_part = 0.5;
+/// Fraction of an engine's calls that must be overdue before the engine counts as slow.
+constexpr double min_overdue_fraction = 0.5;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
         if (call.engine) {
             call.engine = moved[*call.engine];
         } else if (const auto returned = find(call.offer.last_engine)) {
-            // Its engine had gone and is back: it occupies a place there again.
+            // The engine was removed and is configured again; the call counts on it again.
             call.engine = returned;
             count(call, 1);
         }
@@ -98,7 +98,7 @@
             call.uncached_tokens * engine.configured.prefill_us_per_token * engine.slowdown;
         engine.prefill_done = std::max(engine.prefill_done, now) +
                               base::microseconds(static_cast<std::int64_t>(prefill_us));
-        // Remembered so that an engine that leaves and comes back is found again.
+        // Allows `set` to find the engine if it is removed and configured again.
         call.offer.last_engine = engine.configured.backend;
     }
     const base::attempt_id attempt = call.offer.attempt;
@@ -122,12 +122,12 @@
         return;
     }
     entry& engine = engines_[*call.engine];
-    const double ratio = std::clamp(actual_us / call.nominal_us, least_slowdown, most_slowdown);
-    engine.slowdown += learning_weight * (ratio - engine.slowdown);
+    const double ratio = std::clamp(actual_us / call.nominal_us, min_slowdown, max_slowdown);
+    engine.slowdown += moving_average_weight * (ratio - engine.slowdown);
     if (engine.mean_service_us <= 0) {
         engine.mean_service_us = actual_us;
     }
-    engine.mean_service_us += learning_weight * (actual_us - engine.mean_service_us);
+    engine.mean_service_us += moving_average_weight * (actual_us - engine.mean_service_us);
 }
 
 void engine_table::check_overdue(base::instant now) {
@@ -151,8 +151,8 @@
     for (std::size_t index = 0; index < engines_.size(); ++index) {
         entry& engine = engines_[index];
         const bool slow =
-            engine.in_flight > 0 && seen[index].late >= overdue_part * engine.in_flight;
-        engine.overdue = slow ? std::min(seen[index].ratio, most_slowdown) : 1;
+            engine.in_flight > 0 && seen[index].late >= min_overdue_fraction * engine.in_flight;
+        engine.overdue = slow ? std::min(seen[index].ratio, max_slowdown) : 1;
     }
 }
 
@@ -174,7 +174,7 @@
     entry& engine = engines_[*index];
     const base::instant taken_at = now - event.age;
     if (engine.last_report && taken_at < engine.reported_at) {
-        return;  // an older report that came late
+        return;  // reordered: a newer report has arrived already
     }
     engine.last_report = event;
     engine.reported_at = taken_at;
@@ -198,7 +198,7 @@
     candidate.decode_us_per_token = configured.decode_us_per_token;
     candidate.decode_us_per_sequence = configured.decode_us_per_sequence;
     candidate.slowdown = std::max(engine.slowdown, engine.overdue);
-    // An engine without calls has no prompts to compute, whatever had been expected.
+    // An engine without calls has no prefill backlog, regardless of the estimate.
     const double backlog_us =
         engine.in_flight == 0
             ? 0
--- a/src/pearbarrow/placement/engine_table.h
+++ b/src/pearbarrow/placement/engine_table.h
@@ -1,4 +1,4 @@
-/// The engines of a cell: what is in flight on each, and how fast each has been of late.
+/// The engines of a cell with their calls in flight and recent speeds.
 #pragma once
 
 #include <cstdint>
@@ -19,12 +19,12 @@
 /// A granted call that has not ended.
 struct running_call {
     wire::placement_offer offer;
-    /// Place in the table; none when the engine has left the configuration.
+    /// Index in the table; none when the engine is no longer configured.
     std::optional<std::size_t> engine;
     base::instant granted_at;
-    /// Expected from grant to end, at the engine's nominal speed.
+    /// Expected time from grant to completion at the engine's nominal speed.
     double nominal_us = 0;
-    /// Context tokens that it is counted with on its engine.
+    /// Context tokens that the call reserves on its engine.
     std::uint64_t held_tokens = 0;
     std::uint32_t uncached_tokens = 0;
     base::milliseconds pin_lease{0};
@@ -32,14 +32,15 @@
 
 class engine_table {
   public:
-    /// Replaces the configured engines. What runs on engines that stay is kept.
+    /// Replaces the configured engines. Calls in flight on engines that remain are kept.
     void set(std::vector<cell_engine> engines);
     std::size_t size() const { return engines_.size(); }
     const cell_engine& at(std::size_t index) const { return engines_[index].configured; }
     std::optional<std::size_t> find(const base::backend_id& backend) const;
 
-    /// Engines that may be granted calls, those with a free place, and all.
+    /// Engines that are neither draining nor unreachable.
     engine_mask usable() const;
+    /// Usable engines below their limit of requests in flight.
     engine_mask open() const;
 
     void add(running_call call, base::instant now);
@@ -47,20 +48,20 @@
     std::optional<running_call> remove(const base::attempt_id& attempt);
     bool runs(const base::attempt_id& attempt) const { return calls_.contains(attempt); }
     std::size_t running() const { return calls_.size(); }
-    /// A call of known outcome took `actual_us`; updates the engine's slowdown.
+    /// Updates the engine's slowdown from a completed call that took `actual_us`.
     void learn(const running_call& call, double actual_us);
-    /// Looks for engines on which calls are overdue.
+    /// Updates the overdue factor of every engine.
     void check_overdue(base::instant now);
 
     void report(const engine_report_event& event, base::instant now);
-    /// True when the engine has started anew since its last report.
+    /// True when the engine has restarted since its last report.
     bool restarted(const engine_report_event& event) const;
     void set_state(std::size_t index, bool draining, bool unreachable);
 
-    /// Changes with everything that `fill` writes, but for the passing of time.
+    /// Changes whenever the output of `fill` changes for a reason other than time.
     std::uint64_t version() const { return version_; }
-    /// Writes load, speeds and report age; leaves the fields about the call itself alone.
-    /// `count_reported`: calls that only the load report knows count as in flight.
+    /// Writes load, speeds and report age; fields about the call are unchanged. With
+    /// `count_reported`, calls that appear only in the load report count as in flight.
     void fill(std::size_t index, base::instant now, base::milliseconds report_horizon,
               bool count_reported, candidate_input& candidate) const;
 
@@ -69,10 +70,11 @@
         cell_engine configured;
         std::uint32_t in_flight = 0;
         std::uint64_t tokens = 0;
-        /// When the prompts of the calls in flight are expected to have been computed.
+        /// Expected time at which all prompts of the calls in flight are prefilled.
         base::instant prefill_done;
         double slowdown = 1;
-        /// Of calls that still run, when most are late.
+        /// Slowdown estimated from running calls; above 1 only when at least half of them are
+        /// overdue.
         double overdue = 1;
         double mean_service_us = 0;
         std::optional<engine_report_event> last_report;
--- a/src/pearbarrow/placement/explanation.cc
+++ b/src/pearbarrow/placement/explanation.cc
@@ -1,4 +1,4 @@
-/// Decision records in words and as JSON.
+/// Text and JSON descriptions of decision records.
 #include <algorithm>
 #include <map>
 #include <string>
@@ -97,7 +97,7 @@
     return found == record.outcome.scores.end() ? nullptr : &*found;
 }
 
-/// Tries one change of the inputs; a line when it changes the outcome.
+/// Evaluates changed inputs and appends a line if the outcome differs.
 template <typename Change>
 void try_change(const decision_record& record, std::string_view what, std::string& text,
                 Change change) {
@@ -111,7 +111,7 @@
                         outcome.backend.value().empty() ? "" : " on ", outcome.backend.value());
 }
 
-/// What would have changed the outcome, found by deciding again on changed inputs.
+/// Lists input changes that alter the outcome, by running the decision again.
 std::string what_would_change(const decision_record& record) {
     std::string text;
     for (std::size_t index = 0; index < record.inputs.candidates.size(); ++index) {
--- a/src/pearbarrow/placement/grant_rate.cc
+++ b/src/pearbarrow/placement/grant_rate.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double time_constant_seconds = 10;
-constexpr double least_busy_seconds = 1;
+constexpr double min_busy_seconds = 1;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 }
 
 double grant_rate::per_second() const {
-    return busy_seconds_ < least_busy_seconds ? 0 : grants_ / busy_seconds_;
+    return busy_seconds_ < min_busy_seconds ? 0 : grants_ / busy_seconds_;
 }
 
 }  // namespace pearbarrow::placement
--- a/src/pearbarrow/placement/grant_rate.h
+++ b/src/pearbarrow/placement/grant_rate.h
@@ -1,4 +1,4 @@
-/// Grants a second while calls wait: the rate at which the queue drains.
+/// Grants per second while calls wait: the drain rate of the queue.
 #pragma once
 
 #include "pearbarrow/base/clock.h"
@@ -7,10 +7,10 @@
 
 class grant_rate {
   public:
-    /// Time passed up to `now`, with calls waiting or not.
+    /// Advances the time to `now`. The elapsed time counts only if `calls_waited`.
     void advance(base::instant now, bool calls_waited);
     void add_grant() { grants_ += waited_ ? 1 : 0; }
-    /// 0 until calls have waited for a second in all.
+    /// Returns 0 until calls have waited for one second in total.
     double per_second() const;
 
   private:
--- a/src/pearbarrow/placement/prefix_directory.cc
+++ b/src/pearbarrow/placement/prefix_directory.cc
@@ -7,7 +7,7 @@
 namespace pearbarrow::placement {
 namespace {
 
-/// Keeps keys of shared prefixes apart from those of programs.
+/// Separates the keys of shared prefixes from those of programs.
 constexpr std::uint64_t shared_key_salt = 0x9e3779b97f4a7c15ULL;
 
 }  // namespace
--- a/src/pearbarrow/placement/prefix_directory.h
+++ b/src/pearbarrow/placement/prefix_directory.h
@@ -1,5 +1,5 @@
-/// What the engines of a cell are believed to hold in their prefix caches: a mirror kept from
-/// grants and finished calls, corrected by cache events, bounded by each engine's memory.
+/// Estimated contents of the prefix caches of a cell's engines. Grants and finished calls add
+/// entries, cache events correct them, and each engine's memory limits them.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +19,11 @@
 
 class prefix_directory {
   public:
-    /// Forgets everything when the number of engines differs.
+    /// Clears all entries when the number of engines changes.
     void set_engines(const std::vector<std::uint64_t>& token_limits);
 
-    /// The engine holds the program's first `tokens` tokens, of which `shared` are in prefixes that
-    /// are recorded by themselves. Kept ahead of others until `keep_until`.
+    /// Records that the engine caches the program's first `tokens` tokens; `shared` of them belong
+    /// to separately recorded prefixes. Entries are evicted in order of `keep_until`.
     void record_program(const base::program_id& program, std::size_t engine, std::uint32_t tokens,
                         std::uint32_t shared, base::instant keep_until);
     void record_shared(const wire::prefix_mark& mark, std::size_t engine, std::uint32_t own_tokens,
@@ -31,30 +31,32 @@
 
     /// Tokens of the program's own sequence believed to be on the engine; 0 if none.
     std::uint32_t program_tokens(const base::program_id& program, std::size_t engine) const;
-    /// What an engine holds of a prompt, in tokens.
+    /// Tokens of a prompt that an engine has cached.
     struct held_tokens {
-        /// Of the program's own sequence or of a mark, whichever is longer.
+        /// Tokens of the program's own sequence or of the longest mark, the larger of the two.
         std::uint32_t cached = 0;
-        /// Of the longest mark alone.
+        /// Tokens of the longest mark.
         std::uint32_t shared = 0;
     };
-    /// Raises the slots of `per_engine` (one for each engine) to what the engines hold.
+    /// Raises the entries of `per_engine` (one per engine) to the tokens that the engines have
+    /// cached.
     void fill(const base::program_id& program, const std::vector<wire::prefix_mark>& marks,
               std::vector<held_tokens>& per_engine) const;
-    /// Longest of the marks that the engine holds, in tokens.
+    /// Length in tokens of the longest mark that the engine has cached.
     std::uint32_t shared_tokens(const std::vector<wire::prefix_mark>& marks,
                                 std::size_t engine) const;
 
     void set_tokens_left(const base::program_id& program, std::size_t engine, std::uint32_t tokens);
     void forget_program(const base::program_id& program);
-    /// Engines other than `kept` that hold something of the program, ascending; forgets them.
+    /// Removes the program's entries on engines other than `kept`, and returns these engines in
+    /// ascending order.
     std::vector<std::size_t> forget_elsewhere(const base::program_id& program, std::size_t kept);
     void clear_engine(std::size_t engine);
     std::uint64_t tokens_held(std::size_t engine) const { return engines_[engine].held; }
     std::size_t size() const { return holdings_.size(); }
 
   private:
-    /// A program's sequence or a shared prefix, as a number.
+    /// Hash of a program's sequence or of a shared prefix.
     using key = std::uint64_t;
     struct holding {
         std::uint32_t engine = 0;
@@ -75,7 +77,7 @@
     void drop(key name, std::size_t engine);
 
     std::vector<engine_holdings> engines_;
-    /// Few engines hold one prefix, so a short vector each.
+    /// A vector suffices because few engines cache the same prefix.
     absl::flat_hash_map<key, std::vector<holding>> holdings_;
 };
 
--- a/src/pearbarrow/placement/record_store.h
+++ b/src/pearbarrow/placement/record_store.h
@@ -1,4 +1,4 @@
-/// Recent decision records, in bounded memory.
+/// Bounded store of recent decision records.
 #pragma once
 
 #include <cstddef>
--- a/src/pearbarrow/placement/rule_table.cc
+++ b/src/pearbarrow/placement/rule_table.cc
@@ -7,7 +7,7 @@
 namespace pearbarrow::placement {
 namespace {
 
-constexpr std::size_t remembered_programs = 4096;
+constexpr std::size_t max_cached_programs = 4096;
 
 config::label_set own_labels(const wire::placement_offer& offer) {
     config::label_set labels;
@@ -17,8 +17,8 @@
     return labels;
 }
 
-/// Everything that the rules look at, as one text.
-std::string memory_key(const wire::placement_offer& offer) {
+/// Cache key that contains all inputs of the rules.
+std::string cache_key(const wire::placement_offer& offer) {
     constexpr char separator = '\0';
     std::string key = offer.tenant.value();
     key += separator;
@@ -37,7 +37,7 @@
     if (!limit) {
         return;
     }
-    // A limit of 0 admits nothing: the nearest that a bound can say is 1.
+    // A limit of 0 admits nothing, but 0 means no limit in program_rules; 1 is the closest bound.
     const auto value = static_cast<Number>(std::max<std::uint64_t>(*limit, 1));
     bound = bound == 0 ? value : std::min(bound, value);
 }
@@ -54,7 +54,7 @@
     configuration_ = std::move(configuration);
     region_ = std::move(region);
     engine_labels_ = std::move(engine_labels);
-    known_.clear();
+    cached_rules_.clear();
 }
 
 base::config_version rule_table::version() const {
@@ -62,15 +62,15 @@
 }
 
 const program_rules& rule_table::find(const wire::placement_offer& offer) {
-    std::string key = memory_key(offer);
-    const auto found = known_.find(key);
-    if (found != known_.end()) {
+    std::string key = cache_key(offer);
+    const auto found = cached_rules_.find(key);
+    if (found != cached_rules_.end()) {
         return found->second;
     }
-    if (known_.size() >= remembered_programs) {
-        known_.clear();
+    if (cached_rules_.size() >= max_cached_programs) {
+        cached_rules_.clear();
     }
-    return known_.emplace(std::move(key), match(offer)).first->second;
+    return cached_rules_.emplace(std::move(key), match(offer)).first->second;
 }
 
 program_rules rule_table::match(const wire::placement_offer& offer) const {
--- a/src/pearbarrow/placement/rule_table.h
+++ b/src/pearbarrow/placement/rule_table.h
@@ -1,5 +1,5 @@
-/// What the configuration says about a program in one cell: engines permitted, priority, weights
-/// and limits. Remembers its answers until the configuration changes.
+/// Matches programs against the configuration: permitted engines, priority, weights and limits in
+/// one cell. Results are cached until the configuration changes.
 #pragma once
 
 #include <cstdint>
@@ -33,7 +33,7 @@
     config::configuration_ptr configuration_;
     base::region_name region_;
     std::vector<config::label_set> engine_labels_;
-    absl::flat_hash_map<std::string, program_rules> known_;
+    absl::flat_hash_map<std::string, program_rules> cached_rules_;
 };
 
 }  // namespace pearbarrow::placement
--- a/src/pearbarrow/placement/scheduler_grants.cc
+++ b/src/pearbarrow/placement/scheduler_grants.cc
@@ -1,4 +1,4 @@
-/// How the scheduler gathers the inputs of a decision and carries its outcome out.
+/// Part of the scheduler that gathers the inputs of a decision and applies its outcome.
 #include <algorithm>
 #include <cmath>
 #include <string>
@@ -15,9 +15,9 @@
 /// Engine priorities count in steps of 10 ms of queue order, modulo about four months.
 constexpr double engine_priority_step_us = 10'000;
 constexpr double engine_priority_range = 1e9;
-/// One level of a rule's priority outweighs this much of queue order on the engine (2.7 hours).
+/// One level of rule priority equals this many steps of queue order on the engine (2.7 hours).
 constexpr std::int32_t engine_priority_level = 1'000'000;
-constexpr std::int32_t highest_rule_priority = 100;
+constexpr std::int32_t max_rule_priority = 100;
 
 absl::StatusCode status_code(const std::string& code) {
     if (code == reason::deadline_passed || code == reason::deadline_unreachable) {
@@ -40,8 +40,7 @@
 
 std::int32_t engine_priority(const queue_key& key) {
     const double step = std::fmod(key.order / engine_priority_step_us, engine_priority_range);
-    const std::int32_t rule =
-        std::clamp(key.priority, -highest_rule_priority, highest_rule_priority);
+    const std::int32_t rule = std::clamp(key.priority, -max_rule_priority, max_rule_priority);
     return static_cast<std::int32_t>(step) + rule * engine_priority_level;
 }
 
@@ -67,7 +66,7 @@
             failed_before |= bit;
         }
     }
-    // Where every engine has failed it once, each may be tried again.
+    // If every engine has failed the call once, all of them are permitted again.
     return (mask & ~failed_before) != 0 ? mask & ~failed_before : mask;
 }
 
@@ -144,7 +143,7 @@
     inputs.waited_ms = static_cast<std::uint64_t>(
         std::chrono::duration_cast<base::milliseconds>(now - call.waiting_since).count());
     inputs.starved = call.key.band == 0;
-    // Without a deadline the place in the queue changes nothing but the reason for waiting.
+    // Without a deadline, the queue position affects only the reason for waiting.
     inputs.ahead =
         call.deadline ? static_cast<std::uint32_t>(queue_.ahead_of(call.key)) : inputs.ahead;
     inputs.grants_per_second = rate_.per_second();
@@ -190,10 +189,10 @@
     for (std::size_t index = 0; index < engines_.size(); ++index) {
         inputs.candidates[index].backend = engines_.at(index).backend;
     }
-    name_exclusions(call);
+    set_exclusion_reasons(call);
 }
 
-void cell_scheduler::state::name_exclusions(const waiting_call& call) {
+void cell_scheduler::state::set_exclusion_reasons(const waiting_call& call) {
     for (std::size_t index = 0; index < engines_.size(); ++index) {
         const cell_engine& engine = engines_.at(index);
         candidate_input& candidate = inputs_.candidates[index];
@@ -214,7 +213,7 @@
     }
     filled_for_ = wanted;
     inputs_.candidates.resize(engines_.size());
-    const bool take_over = taking_over(now);
+    const bool take_over = in_take_over(now);
     for (std::size_t index = 0; index < engines_.size(); ++index) {
         engines_.fill(index, now, options_.report_horizon, take_over, inputs_.candidates[index]);
     }
@@ -227,7 +226,7 @@
         directory_.fill(offer.program, offer.prefixes, held_);
     }
     fill_engines(now);
-    const bool take_over = taking_over(now);
+    const bool take_over = in_take_over(now);
     const engine_mask usable = engines_.usable() & call.permitted;
     for (std::size_t index = 0; index < engines_.size(); ++index) {
         const cell_engine& engine = engines_.at(index);
@@ -244,14 +243,14 @@
             options_.prefix_affinity) {
             candidate.cached_tokens = std::min(offer.history_tokens, offer.prompt_tokens);
         }
-        // Memory is shared only with calls that run there.
+        // Memory is shared only with calls in flight on the engine.
         candidate.shared_tokens = candidate.eligible && candidate.in_flight > 0
                                       ? std::min(held_[index].shared, offer.prompt_tokens)
                                       : 0;
     }
     if (usable == 0) {
-        // The reasons decide between refusing and waiting.
-        name_exclusions(call);
+        // The exclusion reasons determine whether the call is refused or waits.
+        set_exclusion_reasons(call);
     }
 }
 
@@ -261,7 +260,7 @@
     }
     const class_statistics& statistics = classes_[offer.program_class];
     const base::microseconds wait =
-        statistics.all_pauses().worthwhile_wait(options_.least_return_rate, options_.longest_pin);
+        statistics.all_pauses().retention_time(options_.least_return_rate, options_.longest_pin);
     return std::chrono::duration_cast<base::milliseconds>(wait);
 }
 
@@ -274,8 +273,8 @@
     return holders;
 }
 
-void cell_scheduler::state::remember_prefixes(const wire::placement_offer& offer,
-                                              std::size_t engine, base::instant now) {
+void cell_scheduler::state::record_prefixes(const wire::placement_offer& offer, std::size_t engine,
+                                            base::instant now) {
     std::uint32_t before = 0;
     for (const wire::prefix_mark& mark : offer.prefixes) {
         directory_.record_shared(mark, engine, mark.tokens - std::min(before, mark.tokens), now);
@@ -319,7 +318,7 @@
                  candidate.decode_us_per_token / std::max(1U, candidate.in_flight_limit)),
         now);
     add_tenant_tokens(offer.tenant, static_cast<std::int64_t>(call.held_tokens));
-    remember_prefixes(offer, engine, now);
+    record_prefixes(offer, engine, now);
     if (!offer.model.value().empty()) {
         const std::uint32_t shared = directory_.shared_tokens(offer.prefixes, engine);
         working_set_.put(offer.program, engine,
@@ -364,17 +363,17 @@
     return call;
 }
 
-void cell_scheduler::state::hold_back(const waiting_call& call) {
-    tenants_[call.offer.tenant].held_back.push_back(call.offer.attempt);
+void cell_scheduler::state::throttle(const waiting_call& call) {
+    tenants_[call.offer.tenant].throttled.push_back(call.offer.attempt);
     queue_.change_permitted(call.offer.attempt, 0);
 }
 
-void cell_scheduler::state::free_held_back(const base::tenant_id& tenant, base::instant now) {
+void cell_scheduler::state::resume_throttled(const base::tenant_id& tenant, base::instant now) {
     const auto found = tenants_.find(tenant);
     if (found == tenants_.end()) {
         return;
     }
-    for (const base::attempt_id& attempt : std::exchange(found->second.held_back, {})) {
+    for (const base::attempt_id& attempt : std::exchange(found->second.throttled, {})) {
         if (const waiting_call* call = queue_.find(attempt)) {
             queue_.change_permitted(attempt,
                                     permitted_engines(call->offer, rules_.find(call->offer)));
@@ -386,7 +385,7 @@
     tenants_[tenant].tokens_in_flight += static_cast<std::uint64_t>(tokens);
 }
 
-void cell_scheduler::state::forget_idle_tenant(const base::tenant_id& tenant) {
+void cell_scheduler::state::remove_idle_tenant(const base::tenant_id& tenant) {
     const auto found = tenants_.find(tenant);
     if (found != tenants_.end() && found->second.queued == 0 &&
         found->second.tokens_in_flight == 0) {
--- a/src/pearbarrow/placement/scheduler_state.h
+++ b/src/pearbarrow/placement/scheduler_state.h
@@ -1,4 +1,4 @@
-/// The working state of a cell_scheduler; see cell_scheduler.h for what it promises.
+/// Implementation of cell_scheduler; cell_scheduler.h documents its contract.
 #pragma once
 
 #include <cstdint>
@@ -35,8 +35,8 @@
     struct tenant_state {
         std::uint32_t queued = 0;
         std::uint64_t tokens_in_flight = 0;
-        /// Calls that wait for the tenant's token limit, in order of arrival.
-        std::vector<base::attempt_id> held_back;
+        /// Calls that wait because of the tenant's token limit, in order of arrival.
+        std::vector<base::attempt_id> throttled;
     };
     struct paused_program {
         base::instant since;
@@ -55,14 +55,14 @@
     void handle(const program_ended_event& event, base::instant now);
     void handle(const tick_event& event, base::instant now);
 
-    /// Engines that may take the offer at all.
+    /// Engines that are permitted to serve the offer.
     engine_mask permitted_engines(const wire::placement_offer& offer, const program_rules& rules);
     queue_key key_for(const wire::placement_offer& offer, const program_rules& rules,
                       base::instant now);
-    void learn_pause(const wire::placement_offer& offer, base::instant now);
-    void learn_end(const base::program_id& program);
-    void refuse_passed_deadlines(base::instant now);
-    /// Walks the queue and grants what can start.
+    void record_pause(const wire::placement_offer& offer, base::instant now);
+    void record_program_end(const base::program_id& program);
+    void refuse_expired_calls(base::instant now);
+    /// Scans the queue and grants the calls that can start.
     void dispatch(base::instant now);
     enum class attempt_result : std::uint8_t { moved, waits, waits_for_memory };
     /// Decides on one call of the queue.
@@ -70,35 +70,34 @@
 
     /// Writes all inputs of a decision about the call into `inputs_`.
     void gather(const waiting_call& call, bool on_arrival, base::instant now);
-    /// Writes only what `decide_quickly` needs. `complete` must follow before the inputs are
-    /// recorded, while the call is still where it was.
+    /// Writes only the inputs of `decide_quickly`. The caller must call `complete` before it
+    /// records the inputs and before the call leaves its queue position.
     void gather_numbers(const waiting_call& call, bool on_arrival, base::instant now);
     void gather_limits(const waiting_call& call, bool on_arrival);
     void gather_candidates(const waiting_call& call, base::instant now);
-    /// Writes loads and speeds of all engines, unless they stand in `inputs_` already.
+    /// Writes loads and speeds of all engines unless `inputs_` is up to date.
     void fill_engines(base::instant now);
-    void name_exclusions(const waiting_call& call);
-    /// Adds names, texts and figures that don't change the outcome.
+    void set_exclusion_reasons(const waiting_call& call);
+    /// Adds the inputs that do not affect the outcome.
     void complete(const waiting_call& call);
     std::string_view exclusion(const waiting_call& call, std::size_t engine) const;
     void grant(waiting_call call, std::size_t engine, base::instant now);
     void refuse(const wire::placement_offer& offer, const decision_outcome& outcome);
     base::milliseconds pin_lease(const wire::placement_offer& offer);
-    /// Forgets what other engines hold of the program, and names them.
+    /// Removes the program's prefixes on other engines and returns these engines.
     std::vector<base::backend_id> drop_stale_holders(const wire::placement_offer& offer,
                                                      std::size_t chosen);
-    void finish_use(const running_call& call, const wire::placement_finished& finished,
-                    base::instant now);
-    void remember_prefixes(const wire::placement_offer& offer, std::size_t engine,
-                           base::instant now);
+    void record_finished_call(const running_call& call, const wire::placement_finished& finished,
+                              base::instant now);
+    void record_prefixes(const wire::placement_offer& offer, std::size_t engine, base::instant now);
 
     void enqueue(waiting_call call);
     std::optional<waiting_call> dequeue(const base::attempt_id& attempt);
-    void hold_back(const waiting_call& call);
-    void free_held_back(const base::tenant_id& tenant, base::instant now);
+    void throttle(const waiting_call& call);
+    void resume_throttled(const base::tenant_id& tenant, base::instant now);
     void add_tenant_tokens(const base::tenant_id& tenant, std::int64_t tokens);
-    void forget_idle_tenant(const base::tenant_id& tenant);
-    bool taking_over(base::instant now) const;
+    void remove_idle_tenant(const base::tenant_id& tenant);
+    bool in_take_over(base::instant now) const;
 
     cell_options options_;
     engine_table engines_;
@@ -116,10 +115,10 @@
     std::uint64_t next_grant_ = 1;
     std::optional<base::instant> first_event_;
     base::instant last_housekeeping_;
-    /// Reused for every decision, so that deciding allocates next to nothing.
+    /// Reused for every decision to avoid allocations.
     decision_inputs inputs_;
     std::vector<prefix_directory::held_tokens> held_;
-    /// When, and for which state of the engines, `inputs_` was filled last.
+    /// Time and engine table version of the last update of `inputs_`.
     std::optional<std::pair<base::instant, std::uint64_t>> filled_for_;
     std::vector<cell_action> actions_;
 };
--- a/src/pearbarrow/placement/tenant_shares.h
+++ b/src/pearbarrow/placement/tenant_shares.h
@@ -1,4 +1,4 @@
-/// Weighted sharing between tenants: how much engine time each has had of late.
+/// Weighted fair sharing between tenants, based on recent engine time.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,12 @@
 
 namespace pearbarrow::placement {
 
-/// Use fades with a time constant of 30 s. A tenant is over its share when it has had more than
-/// one and a half times its weighted part of what the tenants with calls in the cell have had, and
-/// more than a twentieth of all.
+/// Use decays with a time constant of 30 s. A tenant is over its share when its use exceeds one and
+/// a half times its weighted share among the tenants with calls in the cell, and also a twentieth
+/// of the total.
 class tenant_shares {
   public:
-    /// Calls of the tenant that wait or run changed by `change`.
+    /// Adds `change` to the number of the tenant's calls that wait or are in flight.
     void add_active(const base::tenant_id& tenant, double weight, int change);
     void add_use(const base::tenant_id& tenant, double work_us, base::instant now);
     bool over_share(const base::tenant_id& tenant, base::instant now) const;
--- a/src/pearbarrow/placement/working_set.h
+++ b/src/pearbarrow/placement/working_set.h
@@ -1,6 +1,6 @@
-/// The programs under way on each engine of a cell, by the memory that their prefixes take: those
-/// that run and those that pause briefly. Opening more programs than fit makes each evict the
-/// others' prefixes.
+/// Memory used by the prefixes of the active programs on each engine of a cell. A program is active
+/// while it runs or pauses briefly. If more programs open than fit, they evict each other's
+/// prefixes.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
 
 class working_set {
   public:
-    /// Forgets everything: the engines' order may have changed.
+    /// Removes all programs, because the order of the engines may have changed.
     void set_engines(std::size_t count);
-    /// The program runs on `engine`, or (with `paused_since`) pauses there.
+    /// Records that the program runs on `engine` or, with `paused_since`, pauses there.
     void put(const base::program_id& program, std::size_t engine, std::uint64_t tokens,
              std::optional<base::instant> paused_since);
     void remove(const base::program_id& program);
-    /// Drops programs that have paused since `bound` or longer.
+    /// Removes programs that have paused since `bound` or earlier.
     void expire(base::instant bound);
     std::uint64_t tokens(std::size_t engine) const { return tokens_[engine]; }
 
--- a/tests/unit/placement/parts_test.cc
+++ b/tests/unit/placement/parts_test.cc
@@ -11,7 +11,7 @@
 namespace pearbarrow::placement {
 namespace {
 
-Test(class_statistics, remaining_work_falls_as_a_program_goes_on) {
+Test(class_statistics, expected_remaining_work_decreases_with_finished_calls) {
     class_statistics statistics;
     for (int program = 0; program < 50; ++program) {
         for (std::uint32_t call = 0; call < 5; ++call) {
@@ -25,7 +25,7 @@
     cr_assert_float_eq(statistics.expected_output_tokens(20), 20, 1);
 }
 
-Test(pause_distribution, keeps_a_prefix_as_long_as_programs_return) {
+Test(pause_distribution, retention_time_covers_likely_returns_only) {
     pause_distribution quick;
     pause_distribution mostly_ended;
     for (int count = 0; count < 100; ++count) {
@@ -37,12 +37,12 @@
         }
     }
     const base::microseconds longest = base::seconds(60);
-    const auto wait = quick.worthwhile_wait(0.02, longest);
+    const auto wait = quick.retention_time(0.02, longest);
     cr_assert(wait >= base::seconds(2) && wait < base::seconds(5));
-    cr_assert_eq(mostly_ended.worthwhile_wait(0.02, longest).count(), 0);
+    cr_assert_eq(mostly_ended.retention_time(0.02, longest).count(), 0);
 }
 
-Test(prefix_directory, forgets_the_oldest_beyond_an_engines_memory) {
+Test(prefix_directory, oldest_prefix_is_evicted_beyond_token_limit) {
     prefix_directory directory;
     directory.set_engines({1000, 1000});
     const base::instant start{};
@@ -56,7 +56,7 @@
     cr_assert_eq(directory.size(), 0);
 }
 
-Test(call_queue, agrees_with_a_sorted_list) {
+Test(call_queue, order_matches_sorted_set) {
     const std::uint64_t seed = 11;
     base::random_source random(seed);
     call_queue queue;
--- a/tests/unit/placement/scheduler_fixture.h
+++ b/tests/unit/placement/scheduler_fixture.h
@@ -1,4 +1,4 @@
-/// A cell scheduler driven by hand.
+/// Test fixture with a cell scheduler and a manual clock.
 #pragma once
 
 #include <string>
@@ -31,7 +31,7 @@
         return value;
     }
     std::vector<cell_action> feed(const cell_event& event) { return scheduler.apply(event, now); }
-    std::vector<cell_action> give(wire::placement_offer value) {
+    std::vector<cell_action> submit(wire::placement_offer value) {
         return feed(offer_event{std::move(value)});
     }
     std::vector<cell_action> finish(const std::string& attempt, const std::string& program,
@@ -42,7 +42,7 @@
         finished.backend = base::backend_id(backend);
         finished.history_tokens = history;
         finished.output_tokens = 100;
-        // As expected of an idle engine: prompt and 200 tokens of output.
+        // Service time of an idle engine for the prompt and 200 output tokens.
         finished.service_us = 3'100'000;
         return feed(finished_event{finished});
     }
@@ -53,7 +53,7 @@
     }
     void advance(base::milliseconds by) { now += by; }
 
-    /// Name of the engine of the only grant; the reason of the only refusal; "" for neither.
+    /// The engine name of a single grant, the reason of a single refusal, or "" otherwise.
     static std::string result(const std::vector<cell_action>& actions) {
         if (actions.size() != 1) {
             return "";
