--- a/src/pearbarrow/backend/engine_client.cc
+++ b/src/pearbarrow/backend/engine_client.cc
@@ -18,33 +18,33 @@
 constexpr std::string_view unreachable_reason = "engine_unreachable";
 constexpr std::string_view stream_end_marker = "[DONE]";
 
-/// Reads one stream's events and hands them on as typed parts.
+/// Receives the events of one stream and passes them on as typed parts.
 class stream_receiver final : public stream_handle {
   public:
     stream_receiver(std::string step, std::string peer, generate_callbacks callbacks)
         : step_(std::move(step)),
           peer_(std::move(peer)),
           callbacks_(std::move(callbacks)),
-          parser_([this](const net::server_sent_event& event) { take(event); }) {}
+          parser_([this](const net::server_sent_event& event) { on_event(event); }) {}
 
     void start(net::http_client& http, net::http_call call) {
         handle_ = http.start(
             std::move(call),
             {.on_head = [this](int status,
-                               const net::http_headers& headers) { take_head(status, headers); },
-             .on_chunk = [this](std::string_view chunk) { take_chunk(chunk); },
-             .on_done = [this](absl::Status status) { take_end(status); }});
+                               const net::http_headers& headers) { on_head(status, headers); },
+             .on_chunk = [this](std::string_view chunk) { on_chunk(chunk); },
+             .on_done = [this](absl::Status status) { on_end(status); }});
     }
 
   private:
-    void take_head(int status, const net::http_headers& headers) {
+    void on_head(int status, const net::http_headers& headers) {
         head_ = {.status = status, .headers = headers, .body = {}};
         if (status == status_ok && callbacks_.on_accepted) {
             callbacks_.on_accepted();
         }
     }
 
-    void take_chunk(std::string_view chunk) {
+    void on_chunk(std::string_view chunk) {
         if (head_.status == status_ok) {
             parser_.feed(chunk);
         } else {
@@ -52,9 +52,9 @@
         }
     }
 
-    void take(const net::server_sent_event& event) {
+    void on_event(const net::server_sent_event& event) {
         if (event.data == stream_end_marker) {
-            whole_ = true;
+            complete_ = true;
             return;
         }
         auto chunk = parse_chunk(event.data);
@@ -69,11 +69,11 @@
             result_.usage = *chunk->usage;
         }
         if (!chunk->text.empty()) {
-            take_text(event.id, std::move(chunk->text));
+            on_text(event.id, std::move(chunk->text));
         }
     }
 
-    void take_text(const std::string& id, std::string text) {
+    void on_text(const std::string& id, std::string text) {
         generate_part part{.text = std::move(text)};
         const auto parsed = std::from_chars(id.data(), id.data() + id.size(), part.index);
         if (parsed.ec != std::errc{}) {
@@ -85,23 +85,24 @@
         }
     }
 
-    void take_end(const absl::Status& status) {
-        // The callback may destroy this object: it goes first, nothing follows.
+    void on_end(const absl::Status& status) {
+        // Moves the callback out because it may destroy this object; no member is used after the
+        // call.
         auto done = std::move(callbacks_.on_done);
         if (head_.status != 0 && head_.status != status_ok && status.ok()) {
             done(to_status(head_, step_, peer_));
         } else if (!malformed_.ok()) {
-            done(broken(malformed_));
-        } else if (whole_) {
+            done(broken_stream_error(malformed_));
+        } else if (complete_) {
             done(result_);
         } else if (!status.ok()) {
             done(transport_error(status, step_, peer_, unreachable_reason, "stream_broken"));
         } else {
-            done(broken(absl::DataLossError("the stream ended early")));
+            done(broken_stream_error(absl::DataLossError("the stream ended early")));
         }
     }
 
-    absl::Status broken(const absl::Status& cause) const {
+    absl::Status broken_stream_error(const absl::Status& cause) const {
         return base::make_error(absl::StatusCode::kDataLoss, std::string(cause.message()),
                                 {.step = step_,
                                  .peer = peer_,
@@ -117,7 +118,7 @@
     net::http_response head_{.status = 0};
     generate_result result_;
     absl::Status malformed_;
-    bool whole_ = false;
+    bool complete_ = false;
 };
 
 class http_engine_client final : public engine_client {
@@ -202,8 +203,8 @@
         auto call = make_call("POST", "/v1/orders", nlohmann::json(request).dump());
         fetch<nlohmann::json>(
             "order", std::move(call),
-            [done = std::move(done)](const absl::StatusOr<nlohmann::json>& answer) {
-                done(answer.status());
+            [done = std::move(done)](const absl::StatusOr<nlohmann::json>& response) {
+                done(response.status());
             });
     }
 
@@ -239,14 +240,14 @@
     template <typename Value>
     void fetch(std::string step, net::http_call call, callback<Value> done) {
         http_.fetch(std::move(call), [step = std::move(step), peer = peer_, done = std::move(done)](
-                                         const absl::StatusOr<net::http_response>& answer) {
-            if (!answer.ok()) {
-                done(transport_error(answer.status(), step, peer, unreachable_reason,
+                                         const absl::StatusOr<net::http_response>& response) {
+            if (!response.ok()) {
+                done(transport_error(response.status(), step, peer, unreachable_reason,
                                      "answer_lost"));
-            } else if (answer->status != status_ok) {
-                done(to_status(*answer, step, peer));
+            } else if (response->status != status_ok) {
+                done(to_status(*response, step, peer));
             } else {
-                done(parse_json<Value>(answer->body));
+                done(parse_json<Value>(response->body));
             }
         });
     }
@@ -254,12 +255,12 @@
     void fetch_blocks(std::string step, net::http_call call, callback<std::uint64_t> done) {
         fetch<nlohmann::json>(
             std::move(step), std::move(call),
-            [done = std::move(done)](const absl::StatusOr<nlohmann::json>& answer) {
-                if (!answer.ok()) {
-                    done(answer.status());
+            [done = std::move(done)](const absl::StatusOr<nlohmann::json>& response) {
+                if (!response.ok()) {
+                    done(response.status());
                     return;
                 }
-                done(answer->is_object() ? answer->value("blocks", std::uint64_t{0}) : 0);
+                done(response->is_object() ? response->value("blocks", std::uint64_t{0}) : 0);
             });
     }
 
--- a/src/pearbarrow/backend/engine_client.h
+++ b/src/pearbarrow/backend/engine_client.h
@@ -1,6 +1,6 @@
-/// Client of a model engine, in typed calls. docs/backend-protocol.md describes the protocol.
+/// Typed client of a model engine. docs/backend-protocol.md describes the protocol.
 ///
-/// All callbacks run on the event loop, never inside the call that takes them. A callback of a
+/// All callbacks run on the event loop, never inside the call that receives them. A callback of a
 /// call without a handle runs exactly once. Failed statuses carry step, peer (the engine's
 /// address), reason and `executed` (see base/status.h).
 #pragma once
@@ -34,12 +34,13 @@
     bool operator==(const chat_message&) const = default;
 };
 
-/// Tokens of a whole prompt by the rule of base/tokens.h.
+/// Estimates the tokens of a prompt by the rule of base/tokens.h.
 std::uint64_t count_prompt_tokens(const std::vector<chat_message>& messages);
 
-/// What an engine is asked to generate.
+/// A request to generate a completion.
 struct generate_request {
-    /// Names the stream at the engine. The engine runs an attempt id once: a repeat re-attaches.
+    /// Identifies the stream at the engine. The engine executes an attempt id once; a repeated
+    /// request re-attaches to the stream.
     base::attempt_id attempt;
     base::program_id program;
     base::call_number call;
@@ -48,26 +49,26 @@
     std::string adapter;
     std::vector<chat_message> messages;
     std::uint32_t max_tokens = 0;
-    /// Lower numbers run first and may preempt higher ones.
+    /// Requests with lower values are executed first and may preempt those with higher values.
     std::int32_t priority = 0;
-    /// How long the engine keeps the sequence's cache for the program after the answer.
-    /// Zero: no pin; the blocks stay only until others need the room.
+    /// How long the engine pins the sequence's cache for the program after the response. Zero means
+    /// no pin: the blocks may be evicted when other sequences need memory.
     base::milliseconds pin_lease{0};
 };
 
 /// Tokens that an attempt used.
 struct token_usage {
     std::uint64_t prompt_tokens = 0;
-    /// Part of the prompt that was found in the prefix cache.
+    /// Prompt tokens that were found in the prefix cache.
     std::uint64_t cached_tokens = 0;
     std::uint64_t completion_tokens = 0;
 
     bool operator==(const token_usage&) const = default;
 };
 
-/// Some tokens of an answer, in order.
+/// Consecutive tokens of a generated stream.
 struct generate_part {
-    /// Index of the last token in `text`; the answer's first token has index 1.
+    /// Index of the last token in `text`; the first token of the stream has index 1.
     std::uint64_t index = 0;
     std::string text;
 };
@@ -90,34 +91,34 @@
     std::function<void(absl::StatusOr<generate_result>)> on_done;
 };
 
-/// A stream being received. Destroying it stops receiving, without further callbacks; the engine
-/// goes on generating until `engine_client::cancel`.
+/// Handle of a stream that is being received. Its destruction stops the reception without further
+/// callbacks; the engine continues to generate until `engine_client::cancel`.
 class stream_handle {
   public:
     virtual ~stream_handle() = default;
 };
 
-/// What became of a stream that was cancelled.
+/// Outcome of a cancellation.
 enum class cancel_outcome {
-    /// It was queued or running and has been stopped.
+    /// The stream was queued or running and has been stopped.
     cancelled,
-    /// It had ended before.
+    /// The stream had ended before the cancellation.
     finished,
-    /// The engine never saw the id. It refuses the id from now on with `attempt_cancelled`.
+    /// The engine does not know the id. It refuses the id from now on with `attempt_cancelled`.
     unknown,
 };
 
 struct cancel_result {
     cancel_outcome outcome = cancel_outcome::unknown;
-    /// What the attempt used until now; zeros when unknown.
+    /// Tokens that the attempt has used so far; zeros when unknown.
     token_usage usage;
 };
 
 enum class engine_role { both, prefill, decode };
 
-/// State of an engine, as it was `age` ago.
+/// State of an engine `age` ago.
 struct load_report {
-    /// Grows with each report that the engine takes.
+    /// Increases with each report of the engine.
     std::uint64_t sequence = 0;
     base::milliseconds age{0};
     std::uint32_t running = 0;
@@ -132,9 +133,9 @@
     std::string model_version;
     std::vector<std::string> adapters;
     engine_role role = engine_role::both;
-    /// The engine is about to leave and refuses new streams.
+    /// The engine is shutting down and refuses new streams.
     bool leaving = false;
-    /// Highest fencing token obeyed.
+    /// Highest fencing token that the engine has accepted.
     std::uint64_t fencing_token = 0;
 };
 
@@ -142,11 +143,11 @@
 struct cache_holding {
     base::program_id program;
     std::uint64_t blocks = 0;
-    /// Time until the pin lapses by itself.
+    /// Time until the pin expires.
     base::milliseconds lease_left{0};
 };
 
-/// Everything that an engine's memory holds for programs, at one instant.
+/// Snapshot of an engine's cache for programs.
 struct cache_listing {
     /// Sequence number of the newest cache event that the listing includes.
     std::uint64_t sequence = 0;
@@ -159,24 +160,25 @@
 struct cache_event {
     std::uint64_t sequence = 0;
     cache_event_kind kind = cache_event_kind::pinned;
-    /// Empty for `evicted`, which concerns unpinned blocks.
+    /// Empty for `evicted`, which applies to unpinned blocks.
     base::program_id program;
     std::uint64_t blocks = 0;
-    /// Number of blocks of the program's prefix that remain cached.
+    /// Blocks of the program's prefix that remain cached.
     std::uint64_t blocks_left = 0;
 };
 
-/// Cache events in order of sequence. A jump in the sequence is a gap: read the listing.
+/// Cache events ordered by sequence number. After a gap in the numbers the client must read the
+/// listing.
 struct cache_event_batch {
     std::vector<cache_event> events;
-    /// Pass as `after` next time.
+    /// Value of `after` for the next request.
     std::uint64_t next_after = 0;
 };
 
 enum class order_kind { load_model, load_adapter, unload_adapter, set_role };
 
-/// An order to an engine. Orders with a token lower than the highest seen are refused with
-/// reason `fencing_token_stale`; a repeated token with the same content is a repeat.
+/// An order to an engine. The engine refuses a token lower than the highest it has accepted, with
+/// reason `fencing_token_stale`. A repeated token with the same content is a retry.
 struct engine_order {
     std::uint64_t fencing_token = 0;
     order_kind kind = order_kind::load_model;
@@ -186,18 +188,18 @@
     engine_role role = engine_role::both;
 };
 
-/// A prefix's cache, taken from one engine for another.
+/// Cached prefix that one engine exports for import by another.
 struct exported_prefix {
     base::program_id program;
     base::model_name model;
     std::string model_version;
     std::string adapter;
     std::uint64_t tokens = 0;
-    /// Chained hashes of the prefix's blocks, first block first, 16 hexadecimal digits each.
+    /// Chained hashes of the prefix's blocks in order, 16 hexadecimal digits each.
     std::vector<std::string> blocks;
 };
 
-/// What an engine ran for one attempt.
+/// Metered usage of one attempt at an engine.
 struct meter_entry {
     base::attempt_id attempt;
     base::program_id program;
@@ -207,7 +209,7 @@
     std::string state;
 };
 
-/// Calls one engine. Calls need no order among them; every one may fail with
+/// Client of one engine. Calls are independent of each other; each may fail with
 /// `engine_unreachable` (executed no) or `answer_lost` (executed unknown).
 class engine_client {
   public:
@@ -220,8 +222,8 @@
 
     [[nodiscard]] virtual std::unique_ptr<stream_handle> generate(generate_request request,
                                                                   generate_callbacks callbacks) = 0;
-    /// Receives a stream again, from the token with index `from` (1: the whole answer). Works while
-    /// it runs and for the engine's retention time after it ended.
+    /// Resumes a stream from the token with index `from` (1 for the whole stream). The engine
+    /// supports this while the stream runs and for its retention time after the end.
     [[nodiscard]] virtual std::unique_ptr<stream_handle> resume(base::attempt_id attempt,
                                                                 std::uint64_t from,
                                                                 generate_callbacks callbacks) = 0;
@@ -229,33 +231,37 @@
     virtual void cancel(base::attempt_id attempt, callback<cancel_result> done) = 0;
 
     virtual void read_load(callback<load_report> done) = 0;
-    /// Events after sequence number `after`, late and possibly with gaps.
+    /// Reads the events after sequence number `after`. Events may be late and have gaps.
     virtual void read_cache_events(std::uint64_t after, callback<cache_event_batch> done) = 0;
     virtual void list_cache(callback<cache_listing> done) = 0;
-    /// Gives back all memory pinned for a program; idempotent. The value is the blocks freed.
+    /// Releases all memory pinned for a program; idempotent. The result is the number of blocks
+    /// freed.
     virtual void release(base::program_id program, callback<std::uint64_t> done) = 0;
-    /// Renews (or sets) the lease of a program's pin. The value is the blocks pinned.
+    /// Renews or sets the lease of a program's pin. The result is the number of blocks pinned.
     virtual void renew_pin(base::program_id program, base::milliseconds lease,
                            callback<std::uint64_t> done) = 0;
     virtual void export_prefix(base::program_id program, callback<exported_prefix> done) = 0;
-    /// Pins an exported prefix for its program. The value is the blocks taken in.
+    /// Imports an exported prefix and pins it for its program. The result is the number of blocks
+    /// imported.
     virtual void import_prefix(exported_prefix prefix, base::milliseconds lease,
                                callback<std::uint64_t> done) = 0;
-    /// Obeyed once the callback has ok; loading itself may still go on (see the load report).
+    /// Sends an order. An ok status means that the engine has accepted it; loading may still be in
+    /// progress (see the load report).
     virtual void order(engine_order request, std::function<void(absl::Status)> done) = 0;
-    /// The meter's entry of an attempt; kNotFound, reason `attempt_unknown`, if it never came.
+    /// Reads the meter entry of an attempt. Fails with kNotFound, reason `attempt_unknown`, if the
+    /// engine never received it.
     virtual void read_meter(base::attempt_id attempt, callback<meter_entry> done) = 0;
 };
 
-/// Time limits of calls to an engine.
+/// Timeouts of calls to an engine.
 struct engine_client_options {
-    /// To the head of a stream's answer; also of plain calls.
+    /// Timeout for the response head of a stream or of any other call.
     base::milliseconds head_timeout{10'000};
-    /// Between two parts of a stream. Queued streams receive comments as heartbeats.
+    /// Timeout between two parts of a stream. Queued streams receive comments as heartbeats.
     base::milliseconds idle_timeout{10'000};
 };
 
-/// A client of the engine at `address` over `http`, which must outlive it.
+/// Creates a client of the engine at `address` over `http`, which must outlive the client.
 std::unique_ptr<engine_client> make_engine_client(net::http_client& http, net::endpoint address,
                                                   engine_client_options options = {});
 
--- a/src/pearbarrow/backend/engine_json.h
+++ b/src/pearbarrow/backend/engine_json.h
@@ -12,7 +12,7 @@
 
 namespace pearbarrow::backend {
 
-/// Names of the request's headers.
+/// Names of request headers.
 inline constexpr std::string_view request_id_header = "X-Request-Id";
 inline constexpr std::string_view program_id_header = "X-Program-Id";
 inline constexpr std::string_view call_number_header = "X-Call-Number";
@@ -24,8 +24,9 @@
 std::string_view to_string(engine_role value);
 std::string_view to_string(cancel_outcome value);
 
-// nlohmann's conversions, found by argument-dependent lookup. `from_json` throws
-// nlohmann::json::exception on a wrong shape and std::invalid_argument on an unknown word.
+// nlohmann::json finds these conversions by argument-dependent lookup. `from_json` throws
+// nlohmann::json::exception on an invalid structure and std::invalid_argument on an unknown enum
+// name.
 void to_json(nlohmann::json& json, const chat_message& value);
 void from_json(const nlohmann::json& json, chat_message& value);
 void to_json(nlohmann::json& json, const token_usage& value);
@@ -49,10 +50,10 @@
 void to_json(nlohmann::json& json, const meter_entry& value);
 void from_json(const nlohmann::json& json, meter_entry& value);
 
-/// The body of `POST /v1/chat/completions`, streamed.
+/// Serializes the body of a streaming `POST /v1/chat/completions` request.
 std::string generate_body(const generate_request& request);
 
-/// One event of a stream: a token, the end, or both.
+/// One event of a stream: text, the end of the stream, or both.
 struct stream_chunk {
     std::string text;
     std::optional<finish_reason> reason;
@@ -63,7 +64,7 @@
                        const stream_chunk& chunk);
 absl::StatusOr<stream_chunk> parse_chunk(std::string_view data);
 
-/// Parses `text` as JSON of a `Value`. Fails with kInvalidArgument, reason `malformed_json`.
+/// Parses a `Value` from JSON text. Fails with kInvalidArgument, reason `malformed_json`.
 template <typename Value>
 absl::StatusOr<Value> parse_json(std::string_view text) {
     try {
--- a/src/pearbarrow/backend/tool_client.cc
+++ b/src/pearbarrow/backend/tool_client.cc
@@ -18,14 +18,15 @@
 constexpr std::string_view lost_reason = "answer_lost";
 constexpr base::milliseconds query_timeout{5'000};
 
-/// Reads the answer of an invocation from a whole HTTP answer.
-absl::StatusOr<tool_result> read_result(const net::http_response& answer, const std::string& peer) {
-    if (answer.status != status_ok) {
-        return to_status(answer, "invoke_tool", peer);
+/// Parses the result of an invocation from a complete HTTP response.
+absl::StatusOr<tool_result> read_result(const net::http_response& response,
+                                        const std::string& peer) {
+    if (response.status != status_ok) {
+        return to_status(response, "invoke_tool", peer);
     }
-    const auto body = nlohmann::json::parse(answer.body, nullptr, false);
+    const auto body = nlohmann::json::parse(response.body, nullptr, false);
     if (!body.is_object() || !body.contains("output")) {
-        // It ran: only its answer can't be read.
+        // The tool was executed; only its response is malformed.
         return base::make_error(absl::StatusCode::kInternal, "the tool's answer has no output",
                                 {.step = "invoke_tool",
                                  .peer = peer,
@@ -36,13 +37,13 @@
                        body.contains("repeated") && body["repeated"] == true};
 }
 
-absl::StatusOr<tool_query_result> read_query(const net::http_response& answer,
+absl::StatusOr<tool_query_result> read_query(const net::http_response& response,
                                              const std::string& peer) {
-    if (answer.status != status_ok) {
-        return to_status(answer, "query_tool", peer);
+    if (response.status != status_ok) {
+        return to_status(response, "query_tool", peer);
     }
     try {
-        const auto body = nlohmann::json::parse(answer.body);
+        const auto body = nlohmann::json::parse(response.body);
         const auto state = body.at("state").get<std::string>();
         tool_query_result result;
         result.fenced = body.value("fenced", false);
@@ -74,7 +75,7 @@
     }
 }
 
-/// One invocation: collects the answer under the deadline.
+/// Receives the response of one invocation until its deadline.
 class invocation_receiver final : public tool_handle {
   public:
     using done_callback = std::function<void(absl::StatusOr<tool_result>)>;
@@ -83,22 +84,24 @@
         : peer_(std::move(peer)), done_(std::move(done)) {}
 
     void start(net::http_client& http, net::http_call call) {
-        handle_ = http.start(std::move(call),
-                             {.on_head =
-                                  [this](int status, const net::http_headers& headers) {
-                                      answer_.status = status;
-                                      answer_.headers = headers;
-                                  },
-                              .on_chunk = [this](std::string_view chunk) { answer_.body += chunk; },
-                              .on_done = [this](absl::Status status) { finish(status); }});
+        handle_ =
+            http.start(std::move(call),
+                       {.on_head =
+                            [this](int status, const net::http_headers& headers) {
+                                response_.status = status;
+                                response_.headers = headers;
+                            },
+                        .on_chunk = [this](std::string_view chunk) { response_.body += chunk; },
+                        .on_done = [this](absl::Status status) { finish(status); }});
     }
 
   private:
     void finish(const absl::Status& status) {
-        // The callback may destroy this object: it goes first, nothing follows.
+        // Moves the callback out because it may destroy this object; no member is used after the
+        // call.
         auto done = std::move(done_);
         if (status.ok()) {
-            done(read_result(answer_, peer_));
+            done(read_result(response_, peer_));
         } else if (absl::IsDeadlineExceeded(status) &&
                    base::details_of(status).was_executed != base::executed::no) {
             done(base::make_error(absl::StatusCode::kDeadlineExceeded,
@@ -114,7 +117,7 @@
 
     std::string peer_;
     done_callback done_;
-    net::http_response answer_;
+    net::http_response response_;
     std::unique_ptr<net::http_call_handle> handle_;
 };
 
@@ -157,11 +160,11 @@
             .head_timeout = query_timeout,
             .idle_timeout = query_timeout};
         http_.fetch(std::move(call), [peer = peer_, done = std::move(done)](
-                                         const absl::StatusOr<net::http_response>& answer) {
-            if (answer.ok()) {
-                done(read_query(*answer, peer));
+                                         const absl::StatusOr<net::http_response>& response) {
+            if (response.ok()) {
+                done(read_query(*response, peer));
             } else {
-                done(transport_error(answer.status(), "query_tool", peer, unreachable_reason,
+                done(transport_error(response.status(), "query_tool", peer, unreachable_reason,
                                      lost_reason));
             }
         });
--- a/src/pearbarrow/backend/url.cc
+++ b/src/pearbarrow/backend/url.cc
@@ -9,7 +9,7 @@
 
 constexpr std::string_view unreserved_marks = "-._~";
 constexpr std::size_t escape_digits = 2;
-constexpr int hexadecimal = 16;
+constexpr int hexadecimal_base = 16;
 
 bool is_unreserved(char character) {
     return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
@@ -37,7 +37,7 @@
         const std::string_view digits = segment.substr(at + 1).substr(0, escape_digits);
         unsigned value = 0;
         const auto parsed =
-            std::from_chars(digits.data(), digits.data() + digits.size(), value, hexadecimal);
+            std::from_chars(digits.data(), digits.data() + digits.size(), value, hexadecimal_base);
         if (segment[at] == '%' && digits.size() == escape_digits &&
             parsed.ptr == digits.data() + digits.size()) {
             decoded += static_cast<char>(value);
--- a/src/pearbarrow/backend/url.h
+++ b/src/pearbarrow/backend/url.h
@@ -6,9 +6,9 @@
 
 namespace pearbarrow::backend {
 
-/// `segment` with everything but letters, digits, "-", ".", "_" and "~" percent-encoded.
+/// Percent-encodes all characters except letters, digits, "-", ".", "_" and "~".
 std::string percent_encode(std::string_view segment);
-/// The reverse. A percent sign without two hexadecimal digits stays as it is.
+/// Decodes percent-encoded characters. A percent sign without two hexadecimal digits is unchanged.
 std::string percent_decode(std::string_view segment);
 
 }  // namespace pearbarrow::backend
--- a/tests/unit/backend/backend_test.cc
+++ b/tests/unit/backend/backend_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 template <typename Value>
-Value there_and_back(const Value& value) {
+Value json_round_trip(const Value& value) {
     auto parsed = parse_json<Value>(nlohmann::json(value).dump());
     cr_assert(parsed.ok());
     return *std::move(parsed);
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Test(tokens, four_bytes_are_a_token) {
+Test(tokens, four_bytes_count_as_one_token) {
     cr_assert_eq(base::estimate_tokens(""), 0);
     cr_assert_eq(base::estimate_tokens("a"), 1);
     cr_assert_eq(base::estimate_tokens("abcd"), 1);
@@ -29,28 +29,28 @@
     cr_assert_eq(count_prompt_tokens({{"user", "abcde"}}), 4 + 2 + 4);
 }
 
-Test(engine_json, messages_survive_the_wire) {
-    const auto report = there_and_back(load_report{.sequence = 3,
-                                                   .age = base::milliseconds(20),
-                                                   .running = 2,
-                                                   .model = base::model_name("m"),
-                                                   .adapters = {"x"},
-                                                   .role = engine_role::decode,
-                                                   .leaving = true});
+Test(engine_json, serialized_messages_preserve_fields) {
+    const auto report = json_round_trip(load_report{.sequence = 3,
+                                                    .age = base::milliseconds(20),
+                                                    .running = 2,
+                                                    .model = base::model_name("m"),
+                                                    .adapters = {"x"},
+                                                    .role = engine_role::decode,
+                                                    .leaving = true});
     cr_assert(report.age == base::milliseconds(20));
     cr_assert(report.role == engine_role::decode);
     cr_assert(report.leaving);
-    const auto order = there_and_back(engine_order{
+    const auto order = json_round_trip(engine_order{
         .fencing_token = 4, .kind = order_kind::load_model, .model = base::model_name("m")});
     cr_assert(order.kind == order_kind::load_model);
-    const auto listing = there_and_back(cache_listing{
+    const auto listing = json_round_trip(cache_listing{
         .sequence = 1, .holdings = {{base::program_id("p"), 3, base::milliseconds(9)}}});
     cr_assert(listing.holdings.at(0).lease_left == base::milliseconds(9));
-    const auto usage = there_and_back(token_usage{10, 4, 7});
+    const auto usage = json_round_trip(token_usage{10, 4, 7});
     cr_assert((usage == token_usage{10, 4, 7}));
 }
 
-Test(engine_json, wrong_shapes_are_errors) {
+Test(engine_json, malformed_json_is_rejected) {
     cr_assert_not(parse_json<load_report>("{}").ok());
     cr_assert_not(parse_json<load_report>("nonsense").ok());
     cr_assert_not(parse_json<engine_order>(R"({"fencing_token":1,"kind":"explode"})").ok());
@@ -59,7 +59,7 @@
     cr_assert_not(parse_chunk("").ok());
 }
 
-Test(engine_json, a_chunk_carries_text_end_and_usage) {
+Test(engine_json, chunk_contains_text_finish_reason_and_usage) {
     const auto token = parse_chunk(chunk_body("a", "m", {.text = "bad "}));
     cr_assert_eq(token->text, "bad ");
     cr_assert_not(token->reason.has_value());
@@ -69,7 +69,7 @@
     cr_assert_eq(end->usage->completion_tokens, 2);
 }
 
-Test(problem, carries_executed_and_retry_after) {
+Test(problem, response_preserves_executed_and_retry_after) {
     const auto response = to_response({.status = 429,
                                        .reason = "queue_full",
                                        .was_executed = base::executed::no,
@@ -84,7 +84,7 @@
     cr_assert(details.retry_after == base::milliseconds(1'200));
 }
 
-Test(problem, nothing_is_promised_by_an_answer_that_says_nothing) {
+Test(problem, malformed_error_body_means_executed_unknown) {
     for (const char* body : {"", "<html>", "[1]", R"({"executed":"maybe"})", R"({"executed":7})"}) {
         const auto status = to_status({.status = 502, .body = body}, "generate", "e");
         cr_assert_not(status.ok());
@@ -92,7 +92,7 @@
     }
 }
 
-Test(problem, a_transport_error_is_no_only_when_nothing_was_sent) {
+Test(problem, transport_error_is_executed_no_only_if_nothing_was_sent) {
     const auto unsent = base::make_error(absl::StatusCode::kUnavailable, "refused",
                                          {.was_executed = base::executed::no});
     const auto sent = base::make_error(absl::StatusCode::kUnavailable, "reset",
@@ -105,7 +105,7 @@
     cr_assert(second.was_executed == base::executed::unknown);
 }
 
-Test(url, encoding_goes_both_ways) {
+Test(url, decoding_reverses_encoding) {
     std::string all;
     for (int value = 0; value < 256; ++value) {
         all += static_cast<char>(value);
