--- a/src/pearbarrow/settings/field_reader.cc
+++ b/src/pearbarrow/settings/field_reader.cc
@@ -9,21 +9,21 @@
 
 constexpr std::size_t max_items = 1'024;
 
-std::string_view wanted_endpoint(endpoint_use use) {
+std::string_view endpoint_requirement(endpoint_use use) {
     return use == endpoint_use::listen
-               ? R"(must be an IP number and a port, such as "127.0.0.1:8080" or "[::1]:8080")"
-               : R"(must be an IP number (no name, not 0.0.0.0) and a port from 1 to 65535)";
+               ? R"(must be an IP address and a port, such as "127.0.0.1:8080" or "[::1]:8080")"
+               : R"(must be an IP address (no name, not 0.0.0.0) and a port from 1 to 65535)";
 }
 
-bool usable(const ip_endpoint& value, endpoint_use use) {
-    const bool open = value.port == 0 || value.address == "0.0.0.0" || value.address == "::";
-    return use == endpoint_use::listen || !open;
+bool is_usable(const ip_endpoint& value, endpoint_use use) {
+    const bool unspecified = value.port == 0 || value.address == "0.0.0.0" || value.address == "::";
+    return use == endpoint_use::listen || !unspecified;
 }
 
-std::optional<ip_endpoint> endpoint_of(const toml::node& node, endpoint_use use) {
+std::optional<ip_endpoint> parse_endpoint(const toml::node& node, endpoint_use use) {
     const auto text = node.value_exact<std::string>();
     const auto parsed = text.has_value() ? parse_ip_endpoint(*text) : std::nullopt;
-    return parsed.has_value() && usable(*parsed, use) ? parsed : std::nullopt;
+    return parsed.has_value() && is_usable(*parsed, use) ? parsed : std::nullopt;
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
     return document_.at_path(path).node();
 }
 
-const toml::node* field_reader::take(std::string_view path) {
+const toml::node* field_reader::find_known(std::string_view path) {
     known_.emplace(path);
     return find(path);
 }
@@ -46,104 +46,105 @@
     return node == nullptr ? 0 : node->source().begin.line;
 }
 
-void field_reader::note(std::string_view path, std::string message) {
+void field_reader::add_problem(std::string_view path, std::string message) {
     problems_.push_back({std::string(path), line_of(path), std::move(message)});
 }
 
-void field_reader::note_at(const toml::node& node, std::string_view path, std::string message) {
+void field_reader::add_problem_at(const toml::node& node, std::string_view path,
+                                  std::string message) {
     problems_.push_back({std::string(path), node.source().begin.line, std::move(message)});
 }
 
 bool field_reader::require(std::string_view path) {
     known_.emplace(path);
     if (!has(path)) {
-        note(path, "is missing");
+        add_problem(path, "is missing");
         return false;
     }
     return true;
 }
 
 void field_reader::read(std::string_view path, std::string& target, std::size_t max_bytes) {
-    const auto* node = take(path);
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto text = node->value_exact<std::string>();
     if (!text.has_value()) {
-        note(path, "must be a string");
+        add_problem(path, "must be a string");
     } else if (text->empty() || text->size() > max_bytes) {
-        note(path, fmt::format("must have 1 to {} bytes", max_bytes));
+        add_problem(path, fmt::format("must have 1 to {} bytes", max_bytes));
     } else {
         target = *text;
     }
 }
 
 void field_reader::read_flag(std::string_view path, bool& target) {
-    const auto* node = take(path);
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto flag = node->value_exact<bool>();
     if (!flag.has_value()) {
-        note(path, "must be true or false");
+        add_problem(path, "must be true or false");
         return;
     }
     target = *flag;
 }
 
-void field_reader::read_integer(std::string_view path, std::uint64_t least, std::uint64_t most,
+void field_reader::read_integer(std::string_view path, std::uint64_t min, std::uint64_t max,
                                 std::uint64_t& target) {
-    const auto* node = take(path);
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto number = node->value_exact<std::int64_t>();
     const bool good = number.has_value() && *number >= 0 &&
-                      static_cast<std::uint64_t>(*number) >= least &&
-                      static_cast<std::uint64_t>(*number) <= most;
+                      static_cast<std::uint64_t>(*number) >= min &&
+                      static_cast<std::uint64_t>(*number) <= max;
     if (!good) {
-        note(path, fmt::format("must be a whole number from {} to {}", least, most));
+        add_problem(path, fmt::format("must be a whole number from {} to {}", min, max));
         return;
     }
     target = static_cast<std::uint64_t>(*number);
 }
 
-void field_reader::read_number(std::string_view path, double least, double most, double& target) {
-    const auto* node = take(path);
+void field_reader::read_number(std::string_view path, double min, double max, double& target) {
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto number = node->is_number() ? node->value<double>() : std::nullopt;
-    if (!number.has_value() || !(*number >= least && *number <= most)) {
-        note(path, fmt::format("must be a number from {} to {}", least, most));
+    if (!number.has_value() || !(*number >= min && *number <= max)) {
+        add_problem(path, fmt::format("must be a number from {} to {}", min, max));
         return;
     }
     target = *number;
 }
 
-void field_reader::read_size(std::string_view path, std::size_t least, std::size_t most,
+void field_reader::read_size(std::string_view path, std::size_t min, std::size_t max,
                              std::size_t& target) {
     std::uint64_t value = target;
-    read_integer(path, least, most, value);
+    read_integer(path, min, max, value);
     target = value;
 }
 
-void field_reader::read_milliseconds(std::string_view path, base::milliseconds least,
-                                     base::milliseconds most, base::milliseconds& target) {
+void field_reader::read_milliseconds(std::string_view path, base::milliseconds min,
+                                     base::milliseconds max, base::milliseconds& target) {
     auto value = static_cast<std::uint64_t>(target.count());
-    read_integer(path, static_cast<std::uint64_t>(least.count()),
-                 static_cast<std::uint64_t>(most.count()), value);
+    read_integer(path, static_cast<std::uint64_t>(min.count()),
+                 static_cast<std::uint64_t>(max.count()), value);
     target = base::milliseconds(value);
 }
 
 void field_reader::read_endpoint(std::string_view path, endpoint_use use, ip_endpoint& target) {
-    const auto* node = take(path);
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
-    const auto value = endpoint_of(*node, use);
+    const auto value = parse_endpoint(*node, use);
     if (!value.has_value()) {
-        note(path, std::string(wanted_endpoint(use)));
+        add_problem(path, std::string(endpoint_requirement(use)));
         return;
     }
     target = *value;
@@ -159,36 +160,36 @@
 }
 
 void field_reader::read_endpoints(std::string_view path, std::vector<ip_endpoint>& target) {
-    const auto* node = take(path);
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto* items = node->as_array();
     if (items == nullptr || items->size() > max_items) {
-        note(path, fmt::format("must be an array of at most {} addresses", max_items));
+        add_problem(path, fmt::format("must be an array of at most {} addresses", max_items));
         return;
     }
     std::size_t index = 0;
     for (const auto& item : *items) {
-        const auto value = endpoint_of(item, endpoint_use::remote);
+        const auto value = parse_endpoint(item, endpoint_use::remote);
         if (value.has_value()) {
             target.push_back(*value);
         } else {
-            note_at(item, fmt::format("{}[{}]", path, index),
-                    std::string(wanted_endpoint(endpoint_use::remote)));
+            add_problem_at(item, fmt::format("{}[{}]", path, index),
+                           std::string(endpoint_requirement(endpoint_use::remote)));
         }
         ++index;
     }
 }
 
-void field_reader::read_texts(std::string_view path, std::vector<std::string>& target) {
-    const auto* node = take(path);
+void field_reader::read_strings(std::string_view path, std::vector<std::string>& target) {
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto* items = node->as_array();
     if (items == nullptr || items->size() > max_items) {
-        note(path, fmt::format("must be an array of at most {} strings", max_items));
+        add_problem(path, fmt::format("must be an array of at most {} strings", max_items));
         return;
     }
     std::size_t index = 0;
@@ -197,21 +198,21 @@
         if (text.has_value()) {
             target.push_back(*text);
         } else {
-            note_at(item, fmt::format("{}[{}]", path, index), "must be a string");
+            add_problem_at(item, fmt::format("{}[{}]", path, index), "must be a string");
         }
         ++index;
     }
 }
 
-void field_reader::read_text_table(std::string_view path,
-                                   std::map<std::string, std::string, std::less<>>& target) {
-    const auto* node = take(path);
+void field_reader::read_string_table(std::string_view path,
+                                     std::map<std::string, std::string, std::less<>>& target) {
+    const auto* node = find_known(path);
     if (node == nullptr) {
         return;
     }
     const auto* table = node->as_table();
     if (table == nullptr || table->size() > max_items) {
-        note(path, fmt::format("must be a table of at most {} strings", max_items));
+        add_problem(path, fmt::format("must be a table of at most {} strings", max_items));
         return;
     }
     for (const auto& [key, item] : *table) {
@@ -219,7 +220,7 @@
         if (text.has_value()) {
             target.emplace(std::string(key.str()), *text);
         } else {
-            note_at(item, fmt::format("{}.{}", path, key.str()), "must be a string");
+            add_problem_at(item, fmt::format("{}.{}", path, key.str()), "must be a string");
         }
     }
 }
@@ -230,7 +231,7 @@
     return next != known_.end() && next->rfind(prefix, 0) == 0;
 }
 
-void field_reader::note_unknown_in(const toml::table& table, const std::string& prefix) {
+void field_reader::add_unknown_fields_in(const toml::table& table, const std::string& prefix) {
     for (const auto& [key, node] : table) {
         const auto path = prefix + std::string(key.str());
         if (known_.find(path) != known_.end()) {
@@ -238,17 +239,17 @@
         }
         const auto* inner = node.as_table();
         if (!is_known_table(path)) {
-            note_at(node, path, "is not a known field");
+            add_problem_at(node, path, "is not a known field");
         } else if (inner == nullptr) {
-            note_at(node, path, "must be a table");
+            add_problem_at(node, path, "must be a table");
         } else {
-            note_unknown_in(*inner, path + ".");
+            add_unknown_fields_in(*inner, path + ".");
         }
     }
 }
 
-void field_reader::note_unknown() {
-    note_unknown_in(document_, "");
+void field_reader::add_unknown_fields() {
+    add_unknown_fields_in(document_, "");
 }
 
 }  // namespace pearbarrow::settings
--- a/src/pearbarrow/settings/fleet_settings.cc
+++ b/src/pearbarrow/settings/fleet_settings.cc
@@ -12,13 +12,13 @@
 
 constexpr std::size_t max_name_bytes = 128;
 constexpr std::size_t max_path_bytes = 4'096;
-/// A turn is written to twice as many members and some more.
-constexpr std::uint64_t most_tolerated_losses = 16;
-constexpr std::uint64_t most_tolerated_zones = 16;
-constexpr std::uint64_t most_memory_mb = std::uint64_t{1024} * 1024;
-constexpr std::uint64_t most_quota_slack = 1'000'000;
-constexpr double most_cold_overage = 1'000;
-constexpr double most_cold_slack = 1'000'000;
+/// A turn is written to more than twice as many members as losses are tolerated.
+constexpr std::uint64_t max_tolerated_losses = 16;
+constexpr std::uint64_t max_tolerated_zones = 16;
+constexpr std::uint64_t max_memory_mb = std::uint64_t{1024} * 1024;
+constexpr std::uint64_t max_quota_slack = 1'000'000;
+constexpr double max_cold_overage = 1'000;
+constexpr double max_cold_slack = 1'000'000;
 
 void read_role(field_reader& reader, fleet_settings& settings) {
     std::string role;
@@ -29,7 +29,7 @@
     if (role == "storage") {
         settings.role = fleet_role::storage;
     } else if (role != "edge") {
-        reader.note("role", "must be edge or storage");
+        reader.add_problem("role", "must be edge or storage");
     }
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// A fraction is given in hundredths, as a whole number.
-void read_hundredths(field_reader& reader, std::string_view path, std::uint64_t least,
-                     std::uint64_t most, double& target) {
+/// Reads a fraction that the file gives as an integer in hundredths.
+void read_hundredths(field_reader& reader, std::string_view path, std::uint64_t min,
+                     std::uint64_t max, double& target) {
     auto value = static_cast<std::uint64_t>(target * 100);
-    reader.read_integer(path, least, most, value);
+    reader.read_integer(path, min, max, value);
     target = static_cast<double>(value) / 100;
 }
 
@@ -70,9 +70,9 @@
     settings.node = base::node_id(node);
     reader.require("zone");
     reader.read("zone", settings.zone, max_name_bytes);
-    reader.read_text_table("regions", settings.regions);
+    reader.read_string_table("regions", settings.regions);
     reader.read("log_level", settings.log_level, max_name_bytes);
-    reader.read_integer("memory_mb", 0, most_memory_mb, settings.memory_mb);
+    reader.read_integer("memory_mb", 0, max_memory_mb, settings.memory_mb);
     read_required(reader, "listen.peer", endpoint_use::listen, settings.peer);
     reader.read_endpoint("listen.metrics", endpoint_use::listen, settings.metrics);
     reader.read_endpoints("seeds", settings.seeds);
@@ -90,24 +90,24 @@
         read_dispatch(reader, settings.dispatch);
     } else {
         std::uint64_t losses = settings.tolerated_losses;
-        reader.read_integer("tolerated_losses", 0, most_tolerated_losses, losses);
+        reader.read_integer("tolerated_losses", 0, max_tolerated_losses, losses);
         settings.tolerated_losses = losses;
         std::uint64_t zones = settings.tolerated_zones;
-        reader.read_integer("tolerated_zones", 0, most_tolerated_zones, zones);
+        reader.read_integer("tolerated_zones", 0, max_tolerated_zones, zones);
         settings.tolerated_zones = zones;
         reader.read_milliseconds("quota.window_ms", base::milliseconds{0},
                                  base::milliseconds{600'000}, settings.quota_window);
-        reader.read_integer("quota.slack", 0, most_quota_slack, settings.quota_slack);
-        reader.read_number("slow_start.overage", 0, most_cold_overage, settings.slow_start.overage);
-        reader.read_number("slow_start.slack", 0, most_cold_slack, settings.slow_start.slack);
+        reader.read_integer("quota.slack", 0, max_quota_slack, settings.quota_slack);
+        reader.read_number("slow_start.overage", 0, max_cold_overage, settings.slow_start.overage);
+        reader.read_number("slow_start.slack", 0, max_cold_slack, settings.slow_start.slack);
         reader.require("data_folder");
         reader.read("data_folder", settings.data_folder, max_path_bytes);
     }
-    reader.note_unknown();
+    reader.add_unknown_fields();
     return result;
 }
 
-fleet_settings_result one_problem(std::uint32_t line, std::string message) {
+fleet_settings_result result_with_problem(std::uint32_t line, std::string message) {
     fleet_settings_result result;
     result.problems.push_back({"", line, std::move(message)});
     return result;
@@ -119,8 +119,8 @@
     try {
         return read_document(toml::parse(toml_text));
     } catch (const toml::parse_error& error) {
-        return one_problem(error.source().begin.line,
-                           fmt::format("is not TOML: {}", error.description()));
+        return result_with_problem(error.source().begin.line,
+                                   fmt::format("is not valid TOML: {}", error.description()));
     }
 }
 
@@ -131,7 +131,7 @@
         text << file.rdbuf();
     }
     if (!file) {
-        return one_problem(0, "can't be read");
+        return result_with_problem(0, "can't be read");
     }
     return check_fleet(text.str());
 }
--- a/src/pearbarrow/settings/fleet_settings.h
+++ b/src/pearbarrow/settings/fleet_settings.h
@@ -1,4 +1,4 @@
-/// Settings of a node of a forwarding fleet: an edge that forwards requests, or a storage member.
+/// Settings of a fleet node, which is either an edge or a storage member.
 #pragma once
 
 #include <map>
@@ -13,41 +13,45 @@
 
 namespace pearbarrow::settings {
 
-/// What a node of the fleet does.
+/// Role of a fleet node.
 enum class fleet_role {
-    /// Takes callers' requests and forwards them.
+    /// Receives requests from callers and forwards them to back ends.
     edge,
-    /// Keeps turns on its disk.
+    /// Stores turns on its disk.
     storage,
 };
 
-/// How an edge spreads requests over back ends. Each figure's reason stands with the option that it
-/// sets (`forward/backend_pool.h`).
+/// How an edge distributes requests over back ends. `forward/backend_pool.h` gives the reasons for
+/// the defaults.
 struct dispatch_settings {
-    /// Edges and storage members tell each other the load; false: each edge knows its own only.
+    /// Whether edges and storage members exchange load reports. Otherwise, each edge knows only its
+    /// own load.
     bool share_load = true;
-    /// Load up to which a program stays with its engine, in times of the mean load and in requests.
+    /// A program stays at its engine while the load of the engine is at most `affinity_factor`
+    /// times the mean load plus `affinity_slack` requests.
     double affinity_factor = 1.2;
     double affinity_slack = 3;
-    /// Engines are chosen by expected time (`forward/cost_policy.cc`) instead of requests for each
-    /// place. A burst of three in one of three regions: worth 0.576 without, 0.884 with it; a calm
-    /// day there 0.884 and 0.871, as more connections are opened (one day each).
+    /// Whether engines are chosen by expected time (`forward/cost_policy.cc`) instead of requests
+    /// per slot. A burst of factor 3 in one of three regions yields a value of 0.576 without it and
+    /// 0.884 with it. Without a burst, the values are 0.884 and 0.871, because more connections are
+    /// opened.
     bool by_cost = true;
-    /// New programs are turned away while their engines are full (`forward/program_gate.h`).
+    /// Whether new programs are rejected while their engines are full (`forward/program_gate.h`).
     bool bounds_programs = true;
-    /// Engines are told how urgent each turn is (`forward/engine_priority.h`). Off: beside
-    /// `bounds_programs` a day with a burst of 1.5 was worth 0.66 and 0.67 with it, 0.78 without.
+    /// Whether requests to engines carry the priority of the turn (`forward/engine_priority.h`). It
+    /// is off because, together with `bounds_programs`, a burst of factor 1.5 yields a value of
+    /// 0.66 to 0.67 with it and 0.78 without it.
     bool tells_priority = false;
-    /// How long back ends that vanish together are used; 0: not at all.
+    /// How long back ends that vanish together stay in use. 0 disables this.
     base::milliseconds lapse_grace{1'800};
 };
 
-/// What a back end that has just started may get in a second from the whole fleet, in terms of the
-/// rate that its service's configuration states (`slowstart/start_limits.h`).
+/// Requests per second that the whole fleet may send to a back end during slow start, relative to
+/// the rate that the configuration of its service sets (`slowstart/start_limits.h`).
 struct slow_start_settings {
-    /// In times of the rate.
+    /// Multiple of the rate.
     double overage = 1.0;
-    /// Requests more.
+    /// Additional requests.
     double slack = 0;
 };
 
@@ -55,49 +59,52 @@
     fleet_role role = fleet_role::edge;
     base::node_id node;
     std::string zone;
-    /// Region by zone, of all zones; empty: every zone is in one region without a name.
+    /// Region of each zone. If empty, all zones are in one unnamed region.
     std::map<std::string, std::string, std::less<>> regions;
     std::string log_level = "info";
-    /// The machine's memory for this process. Megabytes; 0: not told, and what is held for others
-    /// has no bound.
+    /// Memory of the machine for this process, in megabytes. 0 means unknown, and leaves buffered
+    /// bytes unbounded.
     std::uint64_t memory_mb = 0;
-    /// Where callers connect; edges only.
+    /// Address that callers connect to; edges only.
     ip_endpoint caller;
-    /// Where readiness is asked for; edges only.
+    /// Address of the readiness check; edges only.
     ip_endpoint ready;
-    /// Where other nodes connect.
+    /// Address that other nodes connect to.
     ip_endpoint peer;
-    /// Where metrics are read; absent: nowhere.
+    /// Address that serves metrics. If absent, metrics are not served.
     std::optional<ip_endpoint> metrics;
     /// Peer addresses of some nodes.
     std::vector<ip_endpoint> seeds;
-    /// The outside service that holds configuration, back ends and the storage view.
+    /// Address of the directory service, which stores the configuration, the back ends and the
+    /// storage view.
     ip_endpoint directory_service;
-    /// Folder for turns; storage members only.
+    /// Folder that stores turns; storage members only.
     std::string data_folder;
-    /// The whole fleet starts for the first time: an empty disk is complete.
+    /// Whether the whole fleet starts for the first time, so that an empty disk is complete.
     bool first_start = false;
-    /// Disks of storage members that may be lost at once; storage members only. Sets the size of
-    /// replica groups (`turns/replica_groups.h`).
+    /// Number of storage members whose disks may be lost at once; storage members only. Sets the
+    /// size of replica groups (`turns/replica_groups.h`).
     std::size_t tolerated_losses = 1;
-    /// Whole zones that may be lost at once; storage members only. Groups are spread so that this
-    /// leaves each a majority, where the zones allow it (`turns/loss_check.h`).
+    /// Number of whole zones that may be lost at once; storage members only. Replica groups are
+    /// spread over zones so that each group keeps a majority, if the zones allow it
+    /// (`turns/loss_check.h`).
     std::size_t tolerated_zones = 0;
-    /// Requests that a tenant may send beyond its limit in one window of the operator's count;
-    /// storage members only. Sets what a share holds beyond the burst (`tenants/quota_ledger.h`).
+    /// Requests that a tenant may send beyond its limit within `quota_window`; storage members
+    /// only. Sets the capacity of a share beyond the burst (`tenants/quota_ledger.h`).
     std::uint64_t quota_slack = 0;
-    /// The window of that count; storage members only. 0: a limit is its rate and its burst alone.
+    /// Window over which requests are counted against the limit of a tenant; storage members only.
+    /// If 0, only the rate and the burst of the limit apply.
     base::milliseconds quota_window{0};
-    /// Storage members only.
+    /// Limits for cold back ends; storage members only.
     slow_start_settings slow_start;
-    /// Within this time a change at the directory service is to be in force on every node. Sets how
-    /// often nodes look (`directory/service_watch.h`).
+    /// Maximum time until a change at the directory service takes effect on every node. Sets the
+    /// poll interval of the nodes (`directory/service_watch.h`).
     base::milliseconds change_bound{2'000};
-    /// Longest time from the order to stop to the end of the process.
+    /// Maximum time from the stop signal to the end of the process.
     base::milliseconds stop_timeout{8'000};
-    /// How long a back end goes on serving after it has said that it leaves, at least.
+    /// Minimum time that a back end keeps serving after it announces that it leaves.
     base::milliseconds leaving_notice{2'000};
-    /// Edges only.
+    /// Distribution of requests over back ends; edges only.
     dispatch_settings dispatch;
 };
 
@@ -107,9 +114,9 @@
     std::vector<settings_problem> problems;
 };
 
-/// Reads the settings from TOML text; every mistake is reported with its field.
+/// Reads settings from TOML text and reports every problem with the path of its field.
 fleet_settings_result check_fleet(std::string_view toml_text);
-/// The same from a file; one that can't be read is the one problem reported.
+/// Reads settings from a file. An unreadable file is reported as a single problem.
 fleet_settings_result check_fleet_file(const std::string& path);
 
 }  // namespace pearbarrow::settings
--- a/src/pearbarrow/settings/node_settings.cc
+++ b/src/pearbarrow/settings/node_settings.cc
@@ -26,15 +26,15 @@
 constexpr std::size_t gibibyte = 1'024 * mebibyte;
 constexpr std::array<std::string_view, 4> log_levels{"debug", "info", "warning", "error"};
 
-bool is_number(const std::string& address, int family) {
+bool is_ip_address(const std::string& address, int family) {
     std::array<unsigned char, sizeof(in6_addr)> buffer{};
     return inet_pton(family, address.c_str(), buffer.data()) == 1;
 }
 
 std::optional<std::uint16_t> parse_port(std::string_view text) {
-    constexpr std::size_t most_digits = 5;
-    constexpr unsigned highest = 65'535;
-    if (text.empty() || text.size() > most_digits) {
+    constexpr std::size_t max_port_digits = 5;
+    constexpr unsigned max_port = 65'535;
+    if (text.empty() || text.size() > max_port_digits) {
         return std::nullopt;
     }
     unsigned value = 0;
@@ -44,10 +44,11 @@
         }
         value = value * 10 + static_cast<unsigned>(digit - '0');
     }
-    return value > highest ? std::nullopt : std::optional(static_cast<std::uint16_t>(value));
+    return value > max_port ? std::nullopt : std::optional(static_cast<std::uint16_t>(value));
 }
 
-/// Names travel in paths, labels and logs: letters, digits, '-', '_' and '.', as in labels.
+/// Returns whether the text has only letters, digits, '-', '_' and '.', because names appear in
+/// paths, labels and logs.
 bool is_name(std::string_view text) {
     const auto allowed = [](char character) {
         return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
@@ -63,7 +64,7 @@
     }
     reader.read(path, target, max_name_bytes);
     if (!is_name(target)) {
-        reader.note(path, "may have only letters, digits, '-', '_' and '.'");
+        reader.add_problem(path, "may contain only letters, digits, '-', '_' and '.'");
     }
 }
 
@@ -97,20 +98,21 @@
 void read_log_level(field_reader& reader, node_settings& settings) {
     reader.read("log_level", settings.log_level, max_name_bytes);
     if (std::find(log_levels.begin(), log_levels.end(), settings.log_level) == log_levels.end()) {
-        reader.note("log_level", "must be debug, info, warning or error");
+        reader.add_problem("log_level", "must be debug, info, warning or error");
     }
 }
 
 void read_operator_keys(field_reader& reader, node_settings& settings) {
-    reader.read_texts("operator_key_hashes", settings.operator_key_hashes);
+    reader.read_strings("operator_key_hashes", settings.operator_key_hashes);
     const auto is_hash = [](const std::string& text) {
         return text.size() == key_hash_digits &&
                text.find_first_not_of("0123456789abcdef") == std::string::npos;
     };
     if (!std::all_of(settings.operator_key_hashes.begin(), settings.operator_key_hashes.end(),
                      is_hash)) {
-        reader.note("operator_key_hashes",
-                    "each must be a SHA-256 in 64 lower-case hexadecimal digits, never a key");
+        reader.add_problem(
+            "operator_key_hashes",
+            "each must be the SHA-256 hash of a key, as 64 lower-case hexadecimal digits");
     }
 }
 
@@ -186,8 +188,8 @@
     settings.tls = tls;
 }
 
-/// Mistakes that no field shows alone.
-void check_together(field_reader& reader, const node_settings& settings) {
+/// Records contradictions between fields.
+void check_consistency(field_reader& reader, const node_settings& settings) {
     const auto& listen = settings.listen;
     const std::array<std::pair<std::string_view, const ip_endpoint*>, 3> listeners{
         {{"listen.caller", &listen.caller},
@@ -197,26 +199,28 @@
         for (std::size_t earlier = 0; earlier < later; ++earlier) {
             const auto& [path, address] = listeners[later];
             if (address->port != 0 && *address == *listeners[earlier].second) {
-                reader.note(path, fmt::format("is the same as {}", listeners[earlier].first));
+                reader.add_problem(
+                    path, fmt::format("has the same address as {}", listeners[earlier].first));
             }
         }
     }
     if (settings.timing.probe_timeout >= settings.timing.probe_interval) {
-        reader.note("timing.probe_timeout_ms", "must be less than timing.probe_interval_ms");
+        reader.add_problem("timing.probe_timeout_ms", "must be less than timing.probe_interval_ms");
     }
     if (settings.limits.max_frame_bytes > settings.limits.max_peer_queue_bytes) {
-        reader.note("limits.max_frame_bytes", "must be at most limits.max_peer_queue_bytes");
+        reader.add_problem("limits.max_frame_bytes", "must be at most limits.max_peer_queue_bytes");
     }
     if (settings.limits.max_body_bytes > settings.limits.max_frame_bytes) {
-        reader.note("limits.max_body_bytes",
-                    "must be at most limits.max_frame_bytes, since bodies travel between nodes");
+        reader.add_problem("limits.max_body_bytes",
+                           "must be at most limits.max_frame_bytes, because nodes send bodies to "
+                           "each other in frames");
     }
     const auto& datagram = settings.advertise.datagram.value_or(listen.datagram);
     const auto& peer = settings.advertise.peer.value_or(listen.peer);
     for (const auto& [path, address] :
          {std::pair{"listen.datagram", &datagram}, std::pair{"listen.peer", &peer}}) {
         if (address->address == "0.0.0.0" || address->address == "::") {
-            reader.note(path, "listens on every address, so advertise must name one");
+            reader.add_problem(path, "listens on all addresses, so [advertise] must give one");
         }
     }
 }
@@ -232,13 +236,13 @@
     read_timing(reader, result.settings.timing);
     read_tls(reader, result.settings);
     if (result.problems.empty()) {
-        check_together(reader, result.settings);
+        check_consistency(reader, result.settings);
     }
-    reader.note_unknown();
+    reader.add_unknown_fields();
     return result;
 }
 
-/// The TOML value that a flag gives; text that is no TOML value stands for itself.
+/// Parses the value of a flag. Text that is not a TOML value is taken as a string.
 toml::table parse_value(const std::string& text) {
     try {
         return toml::parse("value = " + text);
@@ -252,8 +256,9 @@
            field.back() != '.' && is_name(field);
 }
 
-/// Puts the value into the document; the tables on its way are made when absent.
-bool put(toml::table& document, const settings_override& flag) {
+/// Sets the field in the document and creates missing parent tables. Returns false if the path is
+/// invalid or leads through a value that is not a table.
+bool set_field(toml::table& document, const settings_override& flag) {
     if (!is_path(flag.field)) {
         return false;
     }
@@ -272,18 +277,18 @@
     return true;
 }
 
-void forget_flag_lines(const std::vector<settings_override>& overrides, settings_result& result) {
+void clear_flag_lines(const std::vector<settings_override>& overrides, settings_result& result) {
     for (auto& problem : result.problems) {
-        const auto given = [&problem](const settings_override& flag) {
+        const auto is_prefix = [&problem](const settings_override& flag) {
             return problem.field.rfind(flag.field, 0) == 0;
         };
-        if (std::any_of(overrides.begin(), overrides.end(), given)) {
+        if (std::any_of(overrides.begin(), overrides.end(), is_prefix)) {
             problem.line = 0;
         }
     }
 }
 
-settings_result one_problem(std::uint32_t line, std::string message) {
+settings_result result_with_problem(std::uint32_t line, std::string message) {
     settings_result result;
     result.problems.push_back({"", line, std::move(message)});
     return result;
@@ -308,21 +313,21 @@
     if (bracketed) {
         address = address.substr(1, address.size() - 2);
     }
-    if (!port.has_value() || !is_number(address, bracketed ? AF_INET6 : AF_INET)) {
+    if (!port.has_value() || !is_ip_address(address, bracketed ? AF_INET6 : AF_INET)) {
         return std::nullopt;
     }
     return ip_endpoint{address, *port};
 }
 
 std::string to_string(const settings_problem& problem, std::string_view file) {
-    std::string place(file);
+    std::string location(file);
     if (problem.line > 0) {
-        place += fmt::format(":{}", problem.line);
+        location += fmt::format(":{}", problem.line);
     }
     if (!problem.field.empty()) {
-        place += fmt::format(": {}", problem.field);
+        location += fmt::format(": {}", problem.field);
     }
-    return fmt::format("{}: {}", place, problem.message);
+    return fmt::format("{}: {}", location, problem.message);
 }
 
 std::optional<settings_override> parse_override(std::string_view text) {
@@ -336,23 +341,23 @@
 
 settings_result check(std::string_view toml_text, const std::vector<settings_override>& overrides) {
     if (toml_text.size() > max_file_bytes) {
-        return one_problem(0, fmt::format("is larger than {} bytes", max_file_bytes));
+        return result_with_problem(0, fmt::format("is larger than {} bytes", max_file_bytes));
     }
     toml::table document;
     try {
         document = toml::parse(toml_text);
     } catch (const toml::parse_error& error) {
-        return one_problem(error.source().begin.line,
-                           fmt::format("is not TOML: {}", error.description()));
+        return result_with_problem(error.source().begin.line,
+                                   fmt::format("is not valid TOML: {}", error.description()));
     }
     std::vector<settings_problem> flag_problems;
     for (const auto& flag : overrides) {
-        if (!put(document, flag)) {
-            flag_problems.push_back({flag.field, 0, "is not a field that a flag can set"});
+        if (!set_field(document, flag)) {
+            flag_problems.push_back({flag.field, 0, "can't be set by a flag"});
         }
     }
     auto result = read_document(document);
-    forget_flag_lines(overrides, result);
+    clear_flag_lines(overrides, result);
     result.problems.insert(result.problems.end(), flag_problems.begin(), flag_problems.end());
     return result;
 }
@@ -365,7 +370,7 @@
         text << file.rdbuf();
     }
     if (!file) {
-        return one_problem(0, "can't be read");
+        return result_with_problem(0, "can't be read");
     }
     return check(text.str(), overrides);
 }
--- a/src/pearbarrow/settings/node_settings.h
+++ b/src/pearbarrow/settings/node_settings.h
@@ -1,7 +1,7 @@
-/// A node's settings: the TOML file, the flags that override it, and the checks on both.
+/// Settings of a node: the TOML file, the flags that override it, and the validation of both.
 ///
-/// Every mistake is reported at once, each with its field's path and its line; a node never starts
-/// on settings that have one. docs/settings.md describes each field.
+/// All problems are reported at once, each with the path and line of its field. A node never starts
+/// with invalid settings. docs/settings.md describes each field.
 #pragma once
 
 #include <cstddef>
@@ -16,24 +16,24 @@
 
 namespace pearbarrow::settings {
 
-/// An IP number and a port, in the form that `net::parse_endpoint` takes. (`net` comes after this
-/// folder, so its type can't be used here.)
+/// An IP address and a port, in the form that `net::parse_endpoint` accepts. `net` depends on this
+/// folder, so its type can't be used here.
 struct ip_endpoint {
-    /// IPv4 or IPv6 number without brackets; "0.0.0.0" and "::" only in `listen`.
+    /// IPv4 or IPv6 address without brackets. "0.0.0.0" and "::" are valid only in `listen`.
     std::string address;
-    /// 0 lets the kernel choose, only in `listen`.
+    /// 0 lets the kernel choose the port and is valid only in `listen`.
     std::uint16_t port = 0;
 
     auto operator<=>(const ip_endpoint&) const = default;
 };
 
-/// "127.0.0.1:80" or "[::1]:80".
+/// Formats an endpoint as "127.0.0.1:80" or "[::1]:80".
 std::string to_string(const ip_endpoint& value);
-/// None when `text` is not an IP number and a port.
+/// Parses an IP address and a port. Returns nothing if `text` is invalid.
 std::optional<ip_endpoint> parse_ip_endpoint(std::string_view text);
 
-/// `[listen]`: where the node listens. Absent fields default to 127.0.0.1 and a port the kernel
-/// chooses.
+/// `[listen]`: addresses that the node listens on. Absent fields default to 127.0.0.1 and a port
+/// that the kernel chooses.
 struct listen_settings {
     ip_endpoint caller{"127.0.0.1", 0};
     ip_endpoint operators{"127.0.0.1", 0};
@@ -41,7 +41,7 @@
     ip_endpoint datagram{"127.0.0.1", 0};
 };
 
-/// `[advertise]`: the addresses told to other nodes, where they differ from those listened on.
+/// `[advertise]`: addresses that the node publishes to other nodes, if they differ from `[listen]`.
 struct advertise_settings {
     std::optional<ip_endpoint> caller;
     std::optional<ip_endpoint> operators;
@@ -49,41 +49,42 @@
     std::optional<ip_endpoint> datagram;
 };
 
-/// `[platform]`: the platform's services. An absent service is not used.
+/// `[platform]`: services of the platform. An absent service is not used.
 struct platform_settings {
-    /// Members of the key-value service, tried in turn. Empty: the node learns the configuration
-    /// from its peers only.
+    /// Members of the key-value service, tried in order. If empty, the node gets the configuration
+    /// only from its peers.
     std::vector<ip_endpoint> key_value;
     std::optional<ip_endpoint> machine_list;
     std::optional<ip_endpoint> weight_store;
 };
 
-/// `[limits]`: bounds on what one node holds.
+/// `[limits]`: resource limits of one node.
 struct limit_settings {
     std::size_t max_connections = 4'096;
     std::size_t max_header_bytes = std::size_t{16} * 1'024;
     std::size_t max_body_bytes = std::size_t{8} * 1'024 * 1'024;
-    /// Bytes queued for one caller that reads slowly, above which its connection is cut.
+    /// Bytes queued for one slow caller. Its connection is closed above this limit.
     std::size_t max_pending_bytes = std::size_t{4} * 1'024 * 1'024;
     std::size_t max_frame_bytes = std::size_t{16} * 1'024 * 1'024;
     std::size_t max_peer_queue_bytes = std::size_t{64} * 1'024 * 1'024;
-    /// Histories of recently used programs kept in memory by program owners.
+    /// Memory for the histories of recently used programs at program owners.
     std::size_t history_cache_bytes = std::size_t{64} * 1'024 * 1'024;
-    /// Block cache and write buffers of the journal's storage.
+    /// Memory for the block cache and the write buffers of the journal storage.
     std::size_t storage_cache_bytes = std::size_t{32} * 1'024 * 1'024;
-    /// Requests of callers under way at once at this node's gateway.
+    /// In-flight requests of callers at the gateway of this node.
     std::size_t max_open_requests = 8'192;
 };
 
-/// `[tls]`: PEM files. Absent: plain text.
+/// `[tls]`: paths of PEM files. If absent, connections are not encrypted.
 struct tls_settings {
     std::string certificate_chain;
     std::string private_key;
-    /// Authorities that a client's certificate must be signed by; empty: none is asked for.
+    /// Authorities that must have signed the certificate of a client. If empty, client certificates
+    /// are not required.
     std::string client_authorities;
 };
 
-/// `[timing]`: overrides of the intervals, in milliseconds; the defaults fit a region.
+/// `[timing]`: intervals and timeouts in milliseconds. The defaults suit nodes in one region.
 struct timing_settings {
     base::milliseconds tick{50};
     base::milliseconds probe_interval{500};
@@ -97,9 +98,9 @@
     base::milliseconds write_timeout{30'000};
     base::milliseconds call_timeout{120'000};
     base::milliseconds drain_timeout{60'000};
-    /// A node that has been dead or draining for longer has its journal replicas replaced.
+    /// The journal replicas of a node are replaced after it is dead or draining for this time.
     base::milliseconds replica_patience{300'000};
-    /// Between two comparisons of an engine's memory with the programs that live.
+    /// Interval between comparisons of the cache of an engine with the live programs.
     base::milliseconds cache_reconcile_interval{10'000};
 };
 
@@ -108,15 +109,16 @@
     std::string cluster;
     base::zone_name zone;
     base::region_name region;
-    /// Number of shards that programs hash to; the same on every node of a cluster, for its life.
+    /// Number of shards that programs hash to. It must be the same on all nodes and never change
+    /// during the lifetime of a cluster.
     std::uint32_t shard_count = 64;
-    /// Folder for bulk data. Present: the node is a journal replica.
+    /// Folder for bulk data. If present, the node is a journal replica.
     std::optional<std::string> data_folder;
-    /// Datagram addresses of nodes to learn the members from.
+    /// Datagram addresses of the nodes that provide the initial list of members.
     std::vector<ip_endpoint> seeds;
     std::string log_level = "info";
-    /// SHA-256 of each operator's API key, 64 lower-case hexadecimal digits. Empty: the operators'
-    /// listener answers only /healthz, /readyz and /metrics.
+    /// SHA-256 hashes of the API keys of operators, each 64 lower-case hexadecimal digits. If
+    /// empty, the operator listener serves only /healthz, /readyz and /metrics.
     std::vector<std::string> operator_key_hashes;
     listen_settings listen;
     advertise_settings advertise;
@@ -124,24 +126,24 @@
     limit_settings limits;
     timing_settings timing;
     std::optional<tls_settings> tls;
-    /// Seed of the node's random numbers; absent: from the operating system.
+    /// Seed of the random number generator. If absent, the operating system provides the seed.
     std::optional<std::uint64_t> random_seed;
 };
 
-/// One mistake in the settings.
+/// A problem found in the settings.
 struct settings_problem {
     /// Path of the field, e.g. "listen.caller" or "seeds[2]".
     std::string field;
-    /// Line in the file, from 1; 0 when the field comes from a flag or is missing.
+    /// Line in the file, starting at 1. 0 if the field comes from a flag or is missing.
     std::uint32_t line = 0;
     std::string message;
 };
 
-/// "file:line: field: message", or without the line where there is none.
+/// Formats a problem as "file:line: field: message", without the line if it is 0.
 std::string to_string(const settings_problem& problem, std::string_view file);
 
-/// A flag that overrides one field: `--set listen.caller=127.0.0.1:8080`. The value is a TOML
-/// value; text that is none is taken as a string.
+/// A flag that overrides one field: `--set listen.caller=127.0.0.1:8080`. Text that is not a TOML
+/// value is taken as a string.
 struct settings_override {
     std::string field;
     std::string value;
@@ -153,16 +155,16 @@
     std::vector<settings_problem> problems;
 };
 
-/// Reads settings from TOML text. Reports every mistake at once: unknown fields, wrong types,
+/// Reads settings from TOML text. Reports all problems at once: unknown fields, wrong types,
 /// values out of range, missing fields, contradictions between fields.
 settings_result check(std::string_view toml_text,
                       const std::vector<settings_override>& overrides = {});
 
-/// The same from a file; a file that can't be read is the one problem reported.
+/// Reads settings from a file. An unreadable file is reported as a single problem.
 settings_result check_file(const std::string& path,
                            const std::vector<settings_override>& overrides = {});
 
-/// Splits "field=value". None when there is no field.
+/// Splits "field=value". Returns nothing if the field is empty or there is no '='.
 std::optional<settings_override> parse_override(std::string_view text);
 
 }  // namespace pearbarrow::settings
--- a/tests/unit/settings/fleet_settings_test.cc
+++ b/tests/unit/settings/fleet_settings_test.cc
@@ -23,14 +23,14 @@
 metrics = "10.0.0.4:90"
 )";
 
-bool names(const fleet_settings_result& result, const std::string& field) {
+bool has_problem(const fleet_settings_result& result, const std::string& field) {
     return std::any_of(result.problems.begin(), result.problems.end(),
                        [&](const settings_problem& problem) { return problem.field == field; });
 }
 
 }  // namespace
 
-Test(fleet_settings, reads_an_edge) {
+Test(fleet_settings, edge_settings_are_read) {
     const auto result = check_fleet(edge_text);
     cr_assert(result.problems.empty());
     cr_assert(result.settings.role == fleet_role::edge && result.settings.first_start);
@@ -38,7 +38,7 @@
     cr_assert(result.settings.metrics->port == 90);
 }
 
-Test(fleet_settings, every_mistake_names_its_field) {
+Test(fleet_settings, every_problem_names_its_field) {
     const auto result = check_fleet(R"(
 role = "leader"
 zone = 5
@@ -50,11 +50,11 @@
 )");
     for (const char* field : {"role", "node", "zone", "first_start", "directory_service", "own",
                               "listen.peer", "listen.caller", "listen.ready"}) {
-        cr_assert(names(result, field), "%s is not named", field);
+        cr_assert(has_problem(result, field), "no problem for %s", field);
     }
 }
 
-Test(fleet_settings, a_storage_member_needs_a_folder_and_no_caller_address) {
+Test(fleet_settings, storage_member_needs_data_folder_but_no_caller_address) {
     const auto result = check_fleet(R"(
 role = "storage"
 node = "storage-1"
@@ -63,10 +63,10 @@
 [listen]
 peer = "10.0.0.4:70"
 )");
-    cr_assert(result.problems.size() == 1 && names(result, "data_folder"));
+    cr_assert(result.problems.size() == 1 && has_problem(result, "data_folder"));
 }
 
-Test(fleet_settings, reads_what_a_storage_member_tolerates) {
+Test(fleet_settings, tolerated_losses_and_zones_are_read) {
     const std::string text = R"(
 role = "storage"
 node = "storage-1"
@@ -80,16 +80,18 @@
     cr_assert(result.problems.empty());
     cr_assert(result.settings.tolerated_losses == 2 && result.settings.tolerated_zones == 1);
     cr_assert(check_fleet(text + listen).settings.tolerated_zones == 0);
-    cr_assert(names(check_fleet(text + "tolerated_zones = 99\n" + listen), "tolerated_zones"));
-    cr_assert(names(check_fleet(text + "tolerated_zones = \"one\"\n" + listen), "tolerated_zones"));
+    cr_assert(
+        has_problem(check_fleet(text + "tolerated_zones = 99\n" + listen), "tolerated_zones"));
+    cr_assert(
+        has_problem(check_fleet(text + "tolerated_zones = \"one\"\n" + listen), "tolerated_zones"));
 }
 
-Test(fleet_settings, text_that_is_no_toml_is_one_problem) {
+Test(fleet_settings, invalid_toml_or_missing_file_is_single_problem) {
     cr_assert(check_fleet("role = ").problems.size() == 1);
     cr_assert(check_fleet_file("/nowhere/at/all").problems.size() == 1);
 }
 
-Test(fleet_settings, reads_how_requests_are_spread) {
+Test(fleet_settings, dispatch_settings_are_read) {
     const auto result = check_fleet("leaving_notice_ms = 3000\n" + std::string(edge_text) +
                                     "[dispatch]\nshare_load = false\naffinity_percent = 150\n"
                                     "affinity_slack_percent = 250\nlapse_grace_ms = 900\n"
@@ -103,23 +105,24 @@
     cr_assert(result.settings.dispatch.lapse_grace.count() == 900);
 }
 
-Test(fleet_settings, mistakes_in_how_requests_are_spread_name_their_field) {
+Test(fleet_settings, invalid_dispatch_settings_name_their_field) {
     const auto result = check_fleet(
         std::string(edge_text) + "[dispatch]\naffinity_percent = 20\nshare_load = 3\nsize = 1\n");
-    cr_assert(names(result, "dispatch.affinity_percent"));
-    cr_assert(names(result, "dispatch.share_load"));
-    cr_assert(names(result, "dispatch.size"));
+    cr_assert(has_problem(result, "dispatch.affinity_percent"));
+    cr_assert(has_problem(result, "dispatch.share_load"));
+    cr_assert(has_problem(result, "dispatch.size"));
 }
 
-Test(fleet_settings, reads_the_region_of_each_zone) {
+Test(fleet_settings, region_of_each_zone_is_read) {
     const auto result = check_fleet(std::string(edge_text) +
                                     "[regions]\n\"z-1\" = \"north\"\n\"z 2\" = \"south\"\n");
     cr_assert(result.problems.empty());
     cr_assert(result.settings.regions.at("z-1") == "north");
     cr_assert(result.settings.regions.at("z 2") == "south");
     cr_assert(check_fleet(edge_text).settings.regions.empty(), "zones without regions");
-    cr_assert(names(check_fleet(std::string(edge_text) + "[regions]\n\"z\" = 5\n"), "regions.z"));
-    cr_assert(names(check_fleet(std::string(edge_text) + "regions = 5\n"), "listen.regions"));
+    cr_assert(
+        has_problem(check_fleet(std::string(edge_text) + "[regions]\n\"z\" = 5\n"), "regions.z"));
+    cr_assert(has_problem(check_fleet(std::string(edge_text) + "regions = 5\n"), "listen.regions"));
 }
 
 namespace {
@@ -138,7 +141,7 @@
 
 }  // namespace
 
-Test(fleet_settings, reads_what_a_back_end_bears_after_its_start) {
+Test(fleet_settings, slow_start_settings_are_read) {
     const auto result = check_fleet(storage_text("[slow_start]\noverage = 1.5\nslack = 5\n"));
     cr_assert(result.problems.empty());
     cr_assert(result.settings.slow_start.overage == 1.5);
@@ -149,9 +152,9 @@
     cr_assert(absent.settings.slow_start.slack == 0);
 }
 
-Test(fleet_settings, names_a_wrong_bound_of_cold_back_ends) {
+Test(fleet_settings, invalid_slow_start_settings_name_their_field) {
     const auto result = check_fleet(storage_text("[slow_start]\noverage = \"much\"\nslack = -1\n"));
-    cr_assert(names(result, "slow_start.overage"));
-    cr_assert(names(result, "slow_start.slack"));
+    cr_assert(has_problem(result, "slow_start.overage"));
+    cr_assert(has_problem(result, "slow_start.slack"));
     cr_assert(result.problems.size() == 2);
 }
--- a/tests/unit/settings/node_settings_test.cc
+++ b/tests/unit/settings/node_settings_test.cc
@@ -1,4 +1,4 @@
-/// The settings file: good ones, every kind of mistake, flags, and the example files.
+/// Tests valid settings, each kind of problem, flags, and the example files.
 #include "pearbarrow/settings/node_settings.h"
 
 #include <algorithm>
@@ -30,8 +30,8 @@
     return found == result.problems.end() ? nullptr : &*found;
 }
 
-/// Asserts that the text has exactly one mistake, in this field at this line.
-void expect_one(std::string_view more, std::string_view field, std::uint32_t line) {
+/// Asserts that the text has exactly one problem, in the given field and line.
+void expect_single_problem(std::string_view more, std::string_view field, std::uint32_t line) {
     const auto result = settings::check(with(more));
     cr_assert_eq(result.problems.size(), 1, "%zu problems for %s", result.problems.size(),
                  std::string(more).c_str());
@@ -48,7 +48,7 @@
     return text;
 }
 
-Test(settings, the_least_that_is_needed) {
+Test(settings, required_fields_suffice) {
     const auto result = settings::check(minimal);
     cr_assert(result.problems.empty(), "%s", all_problems(result, "minimal").c_str());
     expect_text(result.settings.node.value(), "n1");
@@ -58,7 +58,7 @@
     cr_expect_not(result.settings.tls.has_value());
 }
 
-Test(settings, every_field) {
+Test(settings, every_field_is_read) {
     const auto result = settings::check(R"(node = "n1"
 cluster = "test"
 zone = "a"
@@ -100,7 +100,7 @@
     cr_expect_eq(read.platform.machine_list->port, 8081);
 }
 
-Test(settings, all_mistakes_are_reported_at_once) {
+Test(settings, all_problems_are_reported_at_once) {
     const auto result = settings::check(R"(node = 5
 cluster = "with space"
 zone = "a"
@@ -133,25 +133,26 @@
     cr_expect_eq(result.problems.size(), 10, "%s", all_problems(result, "bad").c_str());
 }
 
-Test(settings, one_mistake_at_a_time) {
-    expect_one("log_level = \"loud\"\n", "log_level", 5);
-    expect_one("operator_key_hashes = [\"secret\"]\n", "operator_key_hashes", 5);
-    expect_one("operator_key_hashes = [1]\n", "operator_key_hashes[0]", 5);
-    expect_one("data_folder = \"\"\n", "data_folder", 5);
-    expect_one("seeds = [\"0.0.0.0:5\"]\n", "seeds[0]", 5);
-    expect_one("seeds = [\"10.0.0.1:0\"]\n", "seeds[0]", 5);
-    expect_one("seeds = [\"10.0.0.1:65536\"]\n", "seeds[0]", 5);
-    expect_one("seeds = \"10.0.0.1:1\"\n", "seeds", 5);
-    expect_one("listen = 5\n", "listen", 5);
-    expect_one("[listen]\nport = 5\n", "listen.port", 6);
-    expect_one("[tls]\nprivate_key = \"k\"\n", "tls.certificate_chain", 0);
-    expect_one("[listen]\ncaller = \"127.0.0.1:9\"\npeer = \"127.0.0.1:9\"\n", "listen.peer", 7);
-    expect_one("[timing]\nprobe_timeout_ms = 900\n", "timing.probe_timeout_ms", 6);
-    expect_one("[limits]\nmax_body_bytes = 1073741824\n", "limits.max_body_bytes", 6);
-    expect_one("[listen]\npeer = \"0.0.0.0:9\"\n", "listen.peer", 6);
+Test(settings, single_problem_names_its_field_and_line) {
+    expect_single_problem("log_level = \"loud\"\n", "log_level", 5);
+    expect_single_problem("operator_key_hashes = [\"secret\"]\n", "operator_key_hashes", 5);
+    expect_single_problem("operator_key_hashes = [1]\n", "operator_key_hashes[0]", 5);
+    expect_single_problem("data_folder = \"\"\n", "data_folder", 5);
+    expect_single_problem("seeds = [\"0.0.0.0:5\"]\n", "seeds[0]", 5);
+    expect_single_problem("seeds = [\"10.0.0.1:0\"]\n", "seeds[0]", 5);
+    expect_single_problem("seeds = [\"10.0.0.1:65536\"]\n", "seeds[0]", 5);
+    expect_single_problem("seeds = \"10.0.0.1:1\"\n", "seeds", 5);
+    expect_single_problem("listen = 5\n", "listen", 5);
+    expect_single_problem("[listen]\nport = 5\n", "listen.port", 6);
+    expect_single_problem("[tls]\nprivate_key = \"k\"\n", "tls.certificate_chain", 0);
+    expect_single_problem("[listen]\ncaller = \"127.0.0.1:9\"\npeer = \"127.0.0.1:9\"\n",
+                          "listen.peer", 7);
+    expect_single_problem("[timing]\nprobe_timeout_ms = 900\n", "timing.probe_timeout_ms", 6);
+    expect_single_problem("[limits]\nmax_body_bytes = 1073741824\n", "limits.max_body_bytes", 6);
+    expect_single_problem("[listen]\npeer = \"0.0.0.0:9\"\n", "listen.peer", 6);
 }
 
-Test(settings, text_that_is_not_toml) {
+Test(settings, invalid_toml_is_single_problem) {
     for (const auto* text : {"node = ", "[listen", "a = 1\na = 2\n", "\xff\xfe", "node = \"x"}) {
         const auto result = settings::check(text);
         cr_assert_eq(result.problems.size(), 1, "for %s", text);
@@ -163,7 +164,7 @@
     cr_expect_eq(too_large.problems.size(), 1);
 }
 
-Test(settings, a_file_that_is_not_there) {
+Test(settings, missing_file_is_reported) {
     const auto result = settings::check_file("/nowhere/at/all.toml");
     cr_assert_eq(result.problems.size(), 1);
     expect_text(settings::to_string(result.problems[0], "all.toml"), "all.toml: can't be read");
@@ -178,7 +179,7 @@
     cr_expect_eq(result.settings.listen.caller.port, 81);
 }
 
-Test(settings, mistakes_in_flags) {
+Test(settings, invalid_flags_are_reported) {
     const auto result = settings::check(
         minimal, {{"listen.caller", "nowhere"}, {"a..b", "1"}, {"node.x", "1"}, {"typo", "1"}});
     cr_expect_eq(result.problems.size(), 4, "%s", all_problems(result, "flags").c_str());
@@ -188,7 +189,7 @@
     expect_text(settings::parse_override("a.b=c=d")->value, "c=d");
 }
 
-Test(settings, example_files) {
+Test(settings, example_files_are_valid) {
     std::size_t checked = 0;
     for (const auto& entry : std::filesystem::recursive_directory_iterator(PEARBARROW_EXAMPLES)) {
         if (entry.path().extension() != ".toml") {
