--- a/src/pearbarrow/config/bounds.h
+++ b/src/pearbarrow/config/bounds.h
@@ -1,4 +1,4 @@
-/// Bounds and tool terms that the configuration puts on programs.
+/// Bounds on programs and terms of tools, as the configuration sets them.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +9,33 @@
 
 namespace pearbarrow::config {
 
-/// Bounds that one object puts on a program. What is counted (rate, programs at once, tokens in
-/// flight) is counted over all programs that the same object applies to.
+/// Bounds that one object sets for a program. Rates, concurrent programs and in-flight tokens are
+/// counted over all programs that the object applies to.
 struct applied_bounds {
     object_key source;
     limits bounds;
 };
 
-/// The bounds of the program's tenant, its class and each `limit` object that matches, in the order
-/// of their keys. `own` are the program's own labels.
+/// Returns the bounds of the class and the tenant of the program and of each matching `limit`
+/// object, in the order of their keys. `own` holds the labels of the program itself.
 std::vector<applied_bounds> bounds_on(const configuration& configuration,
                                       const base::tenant_id& tenant, std::string_view program_class,
                                       const base::region_name& region, const label_set& own);
 
-/// The smallest value of each field; none where nothing bounds it.
+/// Returns the smallest value of each field. Fields that no object bounds stay empty.
 limits tightest(const std::vector<applied_bounds>& bounds);
 
-/// What the operators say of a tool. It stands above what a caller claims.
+/// Terms of a tool as configured by operators. They override the terms that a caller states.
 struct tool_terms {
-    /// Running it twice does no harm: only when every service that offers it says so.
+    /// Whether the tool may run twice. True only if every service that offers it is configured so.
     bool repeatable = false;
-    /// Budget units of one run: the most that any service asks.
+    /// Budget units of one execution: the maximum over all services that offer the tool.
     std::uint64_t cost = 0;
 
     auto operator<=>(const tool_terms&) const = default;
 };
 
-/// None when no service offers the tool.
+/// Returns the terms of the tool, or nothing if no service offers it.
 std::optional<tool_terms> terms_of(const configuration& configuration, const base::tool_name& tool);
 
 }  // namespace pearbarrow::config
--- a/src/pearbarrow/config/change.cc
+++ b/src/pearbarrow/config/change.cc
@@ -39,7 +39,7 @@
 
 void read_put(json_reader& reader, std::vector<change_operation>& out,
               std::vector<field_error>& errors) {
-    const json* field = reader.take("object");
+    const json* field = reader.find_known("object");
     if (field == nullptr) {
         reader.add_error(reader.path_of("object"), "is missing");
         return;
@@ -128,7 +128,7 @@
     reader.required("id", result.id);
     reader.required("base_version", result.base_version);
     reader.required("author", result.author);
-    const json* operations = reader.take("operations");
+    const json* operations = reader.find_known("operations");
     reader.finish();
     if (operations == nullptr) {
         errors.push_back({"change", "operations", "is missing"});
--- a/src/pearbarrow/config/change.h
+++ b/src/pearbarrow/config/change.h
@@ -1,4 +1,4 @@
-/// A change of the configuration: what one entry of the configuration log holds.
+/// Changes of the configuration, which are the entries of the configuration log.
 #pragma once
 
 #include <string>
@@ -19,13 +19,13 @@
     auto operator<=>(const put_object&) const = default;
 };
 
-/// Removes an object; it must exist.
+/// Removes an existing object.
 struct delete_object {
     object_key key;
     auto operator<=>(const delete_object&) const = default;
 };
 
-/// Sets one label of an object that exists.
+/// Sets one label of an existing object.
 struct set_label {
     object_key key;
     std::string label;
@@ -33,7 +33,7 @@
     auto operator<=>(const set_label&) const = default;
 };
 
-/// Removes one label of an object that exists; a label that is absent stays absent.
+/// Removes one label of an existing object. Has no effect if the label is absent.
 struct remove_label {
     object_key key;
     std::string label;
@@ -42,20 +42,21 @@
 
 using change_operation = std::variant<put_object, delete_object, set_label, remove_label>;
 
-/// A set of operations that comes into force whole or not at all.
+/// A set of operations that is applied atomically.
 struct change {
-    /// Drawn at random by the node that first took the change; names it for ever.
+    /// Unique id, generated at random by the node that receives the change.
     std::string id;
-    /// The version it was made against: it becomes version `base_version + 1` or nothing.
+    /// Version that the change is based on. The change becomes version `base_version + 1` or is
+    /// rejected.
     base::config_version base_version;
-    /// Who asked for it, as the operators' API knows them.
+    /// Identity of the requester at the operator API.
     std::string author;
     std::vector<change_operation> operations;
 
     auto operator<=>(const change&) const = default;
 };
 
-/// One entry of the log: a change that was accepted as `version`.
+/// An entry of the log: a change accepted as `version`.
 struct log_entry {
     base::config_version version;
     change content;
@@ -63,13 +64,15 @@
     auto operator<=>(const log_entry&) const = default;
 };
 
-/// JSON text of a change, as stored in the platform's service and sent to peers.
+/// Encodes a change as JSON, as stored in the key-value service and sent to peers.
 std::string encode_change(const change& value);
-/// Fails with kInvalidArgument, reason `invalid_configuration`, naming every mistake.
+/// Decodes a change. Fails with kInvalidArgument, reason `invalid_configuration`, and a message
+/// that lists all problems.
 absl::StatusOr<change> decode_change(std::string_view text);
-/// The same for operations alone, an operator's JSON: [{"operation": "put", "object": {...}},
-/// {"operation": "delete", "kind", "name"}, {"operation": "set_label", "kind", "name", "label",
-/// "value"}, {"operation": "remove_label", "kind", "name", "label"}].
+/// Decodes the operations of a change from the JSON of an operator:
+/// [{"operation": "put", "object": {...}}, {"operation": "delete", "kind", "name"},
+/// {"operation": "set_label", "kind", "name", "label", "value"},
+/// {"operation": "remove_label", "kind", "name", "label"}].
 absl::StatusOr<std::vector<change_operation>> operations_from_json(const nlohmann::json& json);
 
 }  // namespace pearbarrow::config
--- a/src/pearbarrow/config/configuration.cc
+++ b/src/pearbarrow/config/configuration.cc
@@ -30,7 +30,7 @@
     return objects.erase(operation.key) == 1 ? absl::OkStatus() : missing(operation.key);
 }
 
-/// Replaces an object by a copy whose labels `edit` has changed.
+/// Replaces an object by a copy with labels modified by `edit`.
 template <typename Edit>
 absl::Status edit_labels(object_map& objects, const object_key& key, Edit edit) {
     const auto found = objects.find(key);
@@ -191,7 +191,7 @@
     std::string last_change_id;
     reader.required("version", version);
     reader.required("last_change_id", last_change_id);
-    const nlohmann::json* objects = reader.take("objects");
+    const nlohmann::json* objects = reader.find_known("objects");
     reader.finish();
     configuration::object_map map;
     if (objects == nullptr || !objects->is_array()) {
--- a/src/pearbarrow/config/configuration.h
+++ b/src/pearbarrow/config/configuration.h
@@ -1,4 +1,4 @@
-/// The whole configuration at one version: immutable, shared, cheap to look things up in.
+/// The whole configuration at one version. It is immutable, shared and indexed for lookups.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 class configuration;
 using configuration_ptr = std::shared_ptr<const configuration>;
 
-/// A tenant as found by its API key.
+/// A tenant found by its API key.
 struct tenant_view {
     base::tenant_id id;
     const object* value = nullptr;
@@ -31,22 +31,22 @@
 
 class configuration {
   public:
-    /// Version 0: no objects.
+    /// Returns version 0, which has no objects.
     static configuration_ptr empty();
-    /// A configuration of given objects; for snapshots and tests.
+    /// Creates a configuration from objects, for snapshots and tests.
     static configuration_ptr make(base::config_version version, std::vector<object> objects);
-    /// The next version. Fails with kFailedPrecondition when an operation names an object that is
-    /// not there. Validates nothing else: see `validate_change`.
+    /// Returns the next version. Fails with kFailedPrecondition if an operation refers to a missing
+    /// object. `validate_change` performs all other checks.
     absl::StatusOr<configuration_ptr> apply(const change& next) const;
 
     base::config_version version() const { return version_; }
-    /// The id of the change that made this version; empty at version 0.
+    /// Id of the change that created this version; empty at version 0.
     const std::string& last_change_id() const { return last_change_id_; }
     std::size_t size() const { return objects_.size(); }
 
-    /// The object, or null. Pointers live as long as this configuration.
+    /// Returns the object or null. Pointers are valid as long as this configuration.
     const object* find(object_kind kind, std::string_view name) const;
-    /// The typed spec, or null: `find_spec<engine_spec>("e1")`.
+    /// Returns the typed spec or null: `find_spec<engine_spec>("e1")`.
     template <typename Spec>
     const Spec* find_spec(std::string_view name) const {
         const object* found = find(kind_of<Spec>(), name);
@@ -58,11 +58,11 @@
     const std::vector<const object*>& engines_of(const base::pool_id& pool) const;
     /// Tool services that offer a tool, ordered by name.
     const std::vector<const object*>& services_of(const base::tool_name& tool) const;
-    /// The tenant whose key has this digest (see `api_key_digest`), or null.
+    /// Returns the tenant whose key has this digest (see `api_key_digest`), or null.
     const object* tenant_by_key_digest(std::string_view digest) const;
-    /// The shard's replicas, or null when the map lacks it.
+    /// Returns the replicas of the shard, or null if the shard map does not contain it.
     const shard_assignment* shard(base::shard_id shard) const;
-    /// Scheduling rules by falling precedence, then by name.
+    /// Scheduling rules by descending precedence, then by name.
     const std::vector<const object*>& rules() const { return rules_; }
 
     template <typename Spec>
@@ -75,9 +75,9 @@
             }(std::type_identity<object_spec>{}));
     }
 
-    /// All objects in order of kind and name.
+    /// All objects, ordered by kind and name.
     std::vector<object> objects() const;
-    /// Hash of version and content: equal on all nodes at the same version.
+    /// Hash of the version and the content. It is equal on all nodes at the same version.
     std::uint64_t digest() const;
 
   private:
@@ -99,26 +99,26 @@
     friend absl::StatusOr<configuration_ptr> decode_configuration(std::string_view text);
 };
 
-/// JSON text of a whole configuration: the form of snapshots.
+/// Encodes a whole configuration as JSON, the format of snapshots.
 std::string encode_configuration(const configuration& value);
 absl::StatusOr<configuration_ptr> decode_configuration(std::string_view text);
 
-/// Labels that selectors over programs see; see objects.h.
+/// Returns the labels that selectors over programs match (see objects.h).
 label_set program_labels(const configuration& configuration, const base::tenant_id& tenant,
                          std::string_view program_class, const base::region_name& region,
                          const label_set& own);
-/// Labels that selectors over pools see.
+/// Returns the labels that selectors over pools match.
 label_set pool_labels(const object& pool_or_tool_service);
 
-/// The outcome of matching a program with a pool or tool service.
+/// Result of matching a program with a pool or tool service.
 struct rule_match {
     bool allowed = false;
-    /// The rule that decided: the deny rule, or the allow rule that gives priority and weights;
-    /// null when no rule allows it.
+    /// The decisive rule: the deny rule, or the allow rule that sets priority and weights. Null if
+    /// no rule matches.
     const object* rule = nullptr;
 };
 
-/// Applies the scheduling rules; see `scheduling_rule_spec`.
+/// Applies the scheduling rules (see `scheduling_rule_spec`).
 rule_match match_rules(const configuration& configuration, const label_set& program,
                        const label_set& pool);
 
--- a/src/pearbarrow/config/json_reader.cc
+++ b/src/pearbarrow/config/json_reader.cc
@@ -10,7 +10,7 @@
     }
 }
 
-const nlohmann::json* json_reader::take(std::string_view name) {
+const nlohmann::json* json_reader::find_known(std::string_view name) {
     known_.emplace(name);
     if (!value_.is_object()) {
         return nullptr;
--- a/src/pearbarrow/config/json_reader.h
+++ b/src/pearbarrow/config/json_reader.h
@@ -1,4 +1,4 @@
-/// Reading of JSON objects into typed structs, collecting every mistake. Internal to `config`.
+/// Reads JSON objects into typed structs and collects all problems. Internal to `config`.
 #pragma once
 
 #include <cmath>
@@ -21,37 +21,37 @@
 
 namespace pearbarrow::config {
 
-/// Reads the fields of one JSON object. Each mistake is added to `errors` with the field's path;
-/// `finish` adds one for each field that nobody asked for.
+/// Reads the fields of one JSON object. Each problem is added to `errors` with the path of its
+/// field. `finish` adds a problem for each unknown field.
 class json_reader {
   public:
     json_reader(const nlohmann::json& value, std::string object, std::string path,
                 std::vector<field_error>& errors);
 
-    /// Reads a field that may be absent; `out` keeps its value then.
+    /// Reads an optional field. `out` keeps its value if the field is absent.
     template <typename Value>
     void optional(std::string_view name, Value& out) {
-        if (const nlohmann::json* field = take(name)) {
+        if (const nlohmann::json* field = find_known(name)) {
             read(*field, path_of(name), out);
         }
     }
-    /// Reads a field that must be there.
+    /// Reads a required field.
     template <typename Value>
     void required(std::string_view name, Value& out) {
-        const nlohmann::json* field = take(name);
+        const nlohmann::json* field = find_known(name);
         if (field == nullptr) {
             add_error(path_of(name), "is missing");
             return;
         }
         read(*field, path_of(name), out);
     }
-    /// Marks the field as known and returns it, or null.
-    const nlohmann::json* take(std::string_view name);
-    /// A reader of an inner object.
+    /// Marks the field as known and returns it, or null if it is absent.
+    const nlohmann::json* find_known(std::string_view name);
+    /// Returns a reader of a nested object.
     json_reader inner(const nlohmann::json& value, std::string path);
     std::string path_of(std::string_view name) const;
     void add_error(std::string path, std::string message);
-    /// Refuses fields that were not read.
+    /// Adds a problem for each field that was not read.
     void finish();
 
   private:
@@ -112,7 +112,7 @@
     std::set<std::string, std::less<>> known_;
 };
 
-/// Reads one operation's or object's name and kind.
+/// Reads the name and kind of an operation or object.
 std::optional<object_key> read_object_key(json_reader& reader);
 
 }  // namespace pearbarrow::config
--- a/src/pearbarrow/config/log_core.cc
+++ b/src/pearbarrow/config/log_core.cc
@@ -7,8 +7,8 @@
 namespace pearbarrow::config {
 namespace {
 
-/// A read of the log that the shell has not answered for this long is started again.
-constexpr base::milliseconds read_watchdog{15'000};
+/// Timeout after which an incomplete read of the log is restarted.
+constexpr base::milliseconds read_timeout{15'000};
 
 base::config_version after(base::config_version version) {
     return base::config_version(version.value() + 1);
@@ -28,7 +28,7 @@
     return out;
 }
 
-// ---- Following the platform ----
+// ---- Following the key-value service ----
 
 void log_core::on(const follower_changed& event, base::instant now, actions& out) {
     if (event.follows == follows_) {
@@ -53,7 +53,7 @@
     }
     follow_ = follow_state::reading;
     follow_request_ = next_request();
-    follow_due_ = now + read_watchdog;
+    follow_due_ = now + read_timeout;
     out.emplace_back(read_log{follow_request_, current_->version()});
 }
 
@@ -68,7 +68,7 @@
     const bool follows = follow_ == follow_state::reading && event.request == follow_request_;
     store_reachable_ = event.status.ok();
     if (event.status.ok()) {
-        take(event.snapshot, event.entries, now, out);
+        apply_received(event.snapshot, event.entries, now, out);
     }
     for (proposal& waiting : proposals_) {
         if (waiting.phase == proposal_phase::settling && waiting.request == event.request) {
@@ -101,7 +101,7 @@
         return;
     }
     store_reachable_ = true;
-    take(nullptr, event.entries, now, out);
+    apply_received(nullptr, event.entries, now, out);
     if (newest_known_ > current_->version()) {
         start_reading(now, out);
     }
@@ -130,7 +130,7 @@
     }
 }
 
-// ---- Learning from peers ----
+// ---- Fetching from peers ----
 
 void log_core::on(const peer_version_seen& event, base::instant now, actions& out) {
     if (event.version <= current_->version()) {
@@ -161,10 +161,10 @@
     fetch_request_ = 0;
     const base::config_version before = current_->version();
     if (event.status.ok()) {
-        take(event.snapshot, event.entries, now, out);
+        apply_received(event.snapshot, event.entries, now, out);
     }
     if (current_->version() == before) {
-        // No progress: this peer has nothing for us; membership will name it again if it does.
+        // The peer has no newer entries. Membership reports its version again if that changes.
         peer_versions_.erase(fetch_peer_);
     }
     maybe_fetch(now, out);
@@ -172,18 +172,19 @@
 
 // ---- Applying entries ----
 
-void log_core::take(const configuration_ptr& snapshot, const std::vector<log_entry>& entries,
-                    base::instant now, actions& out) {
+void log_core::apply_received(const configuration_ptr& snapshot,
+                              const std::vector<log_entry>& entries, base::instant now,
+                              actions& out) {
     if (snapshot != nullptr) {
-        take_snapshot(snapshot, out);
+        apply_snapshot(snapshot, out);
     }
     for (const log_entry& entry : entries) {
-        take_entry(entry, out);
+        apply_entry(entry, out);
     }
     settle_proposals(now, out);
 }
 
-void log_core::take_snapshot(const configuration_ptr& snapshot, actions& out) {
+void log_core::apply_snapshot(const configuration_ptr& snapshot, actions& out) {
     if (snapshot->version() <= current_->version() && !options_.faults.accept_any_order) {
         return;
     }
@@ -191,11 +192,11 @@
     install(snapshot, out);
 }
 
-void log_core::take_entry(const log_entry& entry, actions& out) {
+void log_core::apply_entry(const log_entry& entry, actions& out) {
     newest_known_ = std::max(newest_known_, entry.version);
     if (!options_.faults.accept_any_order) {
         if (entry.version <= current_->version()) {
-            note_divergence(entry, out);
+            report_divergence(entry, out);
             return;
         }
         if (entry.version != after(current_->version())) {
@@ -206,8 +207,8 @@
     content.base_version = base::config_version(entry.version.value() - 1);
     auto next = current_->apply(content);
     if (!next.ok()) {
-        // Written by a node that checked otherwise: every node skips the same operations, so that
-        // all stay equal.
+        // The writer validated the change differently. All nodes skip the same operations, so their
+        // configurations stay equal.
         content.operations.clear();
         next = current_->apply(content);
     }
@@ -227,32 +228,32 @@
     out.emplace_back(config_installed{current_});
 }
 
-void log_core::note_divergence(const log_entry& entry, actions& out) {
-    const log_entry* own = kept(entry.version);
+void log_core::report_divergence(const log_entry& entry, actions& out) {
+    const log_entry* own = find_kept_entry(entry.version);
     if (own != nullptr && own->content.id != entry.content.id) {
         out.emplace_back(config_diverged{entry.version, own->content.id, entry.content.id});
     }
 }
 
-const log_entry* log_core::kept(base::config_version version) const {
+const log_entry* log_core::find_kept_entry(base::config_version version) const {
     if (kept_.empty() || version < kept_.front().version || version > kept_.back().version) {
         return nullptr;
     }
     return &kept_[version.value() - kept_.front().version.value()];
 }
 
-log_tail log_core::entries_after(base::config_version asked, std::size_t max_entries) const {
+log_tail log_core::entries_after(base::config_version version, std::size_t max_entries) const {
     log_tail tail;
-    if (asked >= current_->version()) {
+    if (version >= current_->version()) {
         return tail;
     }
-    if (kept(after(asked)) == nullptr) {
+    if (find_kept_entry(after(version)) == nullptr) {
         tail.snapshot = current_;
         return tail;
     }
-    for (base::config_version next = after(asked);
+    for (base::config_version next = after(version);
          next <= current_->version() && tail.entries.size() < max_entries; next = after(next)) {
-        tail.entries.push_back(*kept(next));
+        tail.entries.push_back(*find_kept_entry(next));
     }
     return tail;
 }
--- a/src/pearbarrow/config/log_core.h
+++ b/src/pearbarrow/config/log_core.h
@@ -1,11 +1,12 @@
-/// The configuration log as one node sees it: a state machine without I/O.
+/// State machine of the configuration log on one node. It performs no I/O.
 ///
-/// Entry n of the log is a key of the platform's key-value service, created only if entry n is
-/// absent and entry n-1 is there. A change is accepted at the moment its entry exists. Nodes apply
-/// entries in order and never go back. Two nodes a zone follow the service; the others learn from
-/// them, by versions that ride on membership probes and by the peer call `config_fetch`.
+/// Entry n of the log is a key in the key-value service of the platform, created only if entry n is
+/// absent and entry n-1 exists. A change is accepted when its entry exists. Nodes apply entries in
+/// order, and their version never decreases. Two nodes per zone follow the service. The others see
+/// new versions in membership probes and fetch the entries by the peer request `config_fetch`.
 ///
-/// The shell carries out the actions: the platform's ones through `platform/config_log_store.h`.
+/// The caller executes the actions, those of the key-value service through
+/// `platform/config_log_store.h`.
 #pragma once
 
 #include <cstdint>
@@ -26,60 +27,62 @@
 
 namespace pearbarrow::config {
 
-/// Mechanisms that tests switch off, to see their checks fail. Production leaves all on.
+/// Faults that tests inject to verify that their checks fail. All are off in production.
 struct log_core_faults {
-    /// Apply whatever entry comes, also out of order or older.
+    /// Applies entries in any order, including older ones.
     bool accept_any_order = false;
-    /// Take a lost answer for a refusal, without reading the entry again.
-    bool trust_lost_answers = false;
-    /// Report a change as accepted before the platform has confirmed it.
+    /// Treats a lost reply as a rejection, without reading the entry.
+    bool lost_reply_is_rejection = false;
+    /// Reports a change as accepted before the key-value service confirms it.
     bool accept_early = false;
 };
 
 struct log_core_options {
     base::node_id self;
-    /// Longest wait of a proposal for its final answer.
+    /// Maximum time until the final result of a proposal.
     base::milliseconds proposal_timeout{5'000};
-    /// Pause before the platform is tried again after a failure, doubled up to the maximum.
+    /// Delay before a failed request to the key-value service is retried. It doubles up to the
+    /// maximum.
     base::milliseconds retry_initial{200};
     base::milliseconds retry_maximum{5'000};
-    /// A follower reads the log this often although its watch is open.
+    /// Interval at which a follower reads the log even if its watch is open.
     base::milliseconds reread_period{60'000};
-    /// A node behind a peer's version waits this long for an answer before it asks another peer.
+    /// Time that a node waits for the reply of a peer before it tries another peer.
     base::milliseconds fetch_timeout{1'000};
-    /// A follower writes a snapshot once the log in the service holds this many entries.
+    /// Number of entries in the service at which a follower writes a snapshot.
     std::uint64_t compact_after_entries = 512;
-    /// Entries kept in memory to answer peers; older ones are answered with a snapshot.
+    /// Number of entries kept in memory for peers. Peers that need older entries get a snapshot.
     std::size_t kept_entries = 1024;
     log_core_faults faults;
 };
 
 // ---- Events ----
 
-/// An operator's change. `token` comes back in `proposal_done`.
+/// A change of an operator. `proposal_done` returns the same `token`.
 struct propose {
     std::uint64_t token = 0;
     change content;
 };
-/// Answer to `create_entry`.
+/// Reply to `create_entry`.
 struct entry_created {
     std::uint64_t request = 0;
-    /// ok: created by this request. kAlreadyExists: another entry is there, or the base entry is
-    /// not the newest. Others: details' `executed` says whether it may exist.
+    /// Ok if this request created the entry. kAlreadyExists if another entry exists or the base
+    /// entry is not the newest. Otherwise, `executed` of the error details states whether the entry
+    /// may exist.
     absl::Status status;
 };
-/// Answer to `read_log`: a snapshot if the log's head has been compacted, and entries in order.
+/// Reply to `read_log`: a snapshot if the head of the log was compacted, and entries in order.
 struct log_read {
     std::uint64_t request = 0;
     absl::Status status;
     configuration_ptr snapshot;
     std::vector<log_entry> entries;
-    /// Service revision of the answer; a watch goes on from the next one.
+    /// Service revision of the reply. A watch continues from the next revision.
     std::int64_t revision = 0;
-    /// Entries now in the service.
+    /// Number of entries in the service.
     std::uint64_t stored_entries = 0;
 };
-/// Entries that the watch delivered.
+/// Entries delivered by the watch.
 struct watch_delivered {
     std::uint64_t request = 0;
     std::vector<log_entry> entries;
@@ -88,28 +91,28 @@
     std::uint64_t request = 0;
     absl::Status status;
 };
-/// Answer to `write_snapshot`.
+/// Reply to `write_snapshot`.
 struct snapshot_written {
     std::uint64_t request = 0;
     absl::Status status;
 };
-/// A peer's version, from membership.
+/// Version of a peer, reported by membership.
 struct peer_version_seen {
     base::node_id peer;
     base::config_version version;
 };
-/// Answer to `fetch_from_peer`.
+/// Reply to `fetch_from_peer`.
 struct peer_answered {
     std::uint64_t request = 0;
     absl::Status status;
     configuration_ptr snapshot;
     std::vector<log_entry> entries;
 };
-/// Whether this node follows the platform; see membership/rendezvous.h.
+/// Whether this node follows the key-value service (see membership/rendezvous.h).
 struct follower_changed {
     bool follows = false;
 };
-/// Due about every 100 ms.
+/// Timer event, expected about every 100 ms.
 struct log_tick {};
 
 using log_event =
@@ -118,52 +121,54 @@
 
 // ---- Actions ----
 
-/// Create entry `version` in the platform's service, by one transaction.
+/// Creates entry `version` in the key-value service in one transaction.
 struct create_entry {
     std::uint64_t request = 0;
     base::config_version version;
     change content;
 };
-/// Read the entries after `after` from the platform's service, and the snapshot if those are gone.
+/// Reads the entries after `after` from the key-value service, and the snapshot if they were
+/// compacted.
 struct read_log {
     std::uint64_t request = 0;
     base::config_version after;
 };
-/// Watch for new entries from a service revision on.
+/// Watches for new entries, starting at a service revision.
 struct watch_log {
     std::uint64_t request = 0;
     std::int64_t from_revision = 0;
 };
-/// Close the watch.
+/// Closes the watch.
 struct cancel_watch {
     std::uint64_t request = 0;
 };
-/// Store a snapshot in the platform's service and remove the entries before its version.
+/// Stores a snapshot in the key-value service and removes the entries before its version.
 struct write_snapshot {
     std::uint64_t request = 0;
     configuration_ptr snapshot;
 };
-/// Ask a peer for what follows `after`, by `wire::config_fetch`.
+/// Requests the entries after `after` from a peer by `wire::config_fetch`.
 struct fetch_from_peer {
     std::uint64_t request = 0;
     base::node_id peer;
     base::config_version after;
 };
-/// The final answer of a proposal: the version, or
-/// kAborted `config_conflict` (the message names the winner; executed no),
+/// Final result of a proposal: the version, or one of these errors:
+/// kAborted `config_conflict` (the message names the accepted change; executed no),
 /// kInvalidArgument `invalid_configuration` (executed no),
-/// kUnavailable `config_store_unavailable` with a time to come back (executed no), or
+/// kUnavailable `config_store_unavailable` with a retry delay (executed no), or
 /// kUnavailable `config_outcome_unknown` (executed unknown).
 struct proposal_done {
     std::uint64_t token = 0;
     absl::StatusOr<base::config_version> result;
 };
-/// A newer configuration is in force on this node.
+/// A newer configuration is active on this node.
 struct config_installed {
     configuration_ptr value;
 };
-/// The platform or a peer holds another entry at a version that this node has applied. The node
-/// keeps its own and goes on; an operator has to look (a service restored from a backup).
+/// The key-value service or a peer has a different entry at a version that this node has applied,
+/// for example after the service was restored from a backup. The node keeps its own entry and
+/// continues. An operator must resolve the divergence.
 struct config_diverged {
     base::config_version version;
     std::string own_change;
@@ -173,9 +178,9 @@
 using log_action = std::variant<create_entry, read_log, watch_log, cancel_watch, write_snapshot,
                                 fetch_from_peer, proposal_done, config_installed, config_diverged>;
 
-/// What `config_fetch` answers.
+/// Reply to `config_fetch`.
 struct log_tail {
-    /// Set when the entries after the asked version are no longer all kept.
+    /// Set if some entries after the requested version are no longer in memory.
     configuration_ptr snapshot;
     std::vector<log_entry> entries;
 };
@@ -187,13 +192,13 @@
 
     std::vector<log_action> apply(const log_event& event, base::instant now);
 
-    /// The configuration in force on this node. Its version never falls.
+    /// The active configuration of this node. Its version never decreases.
     const configuration_ptr& current() const { return current_; }
-    /// Newest version this node knows to exist anywhere.
+    /// Newest version that this node has seen, on any node or in the service.
     base::config_version newest_known() const { return newest_known_; }
-    /// The platform's service answered this node's last request.
+    /// Whether the key-value service replied to the last request of this node.
     bool store_reachable() const { return store_reachable_; }
-    /// What a peer at version `after` needs; at most `max_entries` entries.
+    /// Returns what a peer at version `after` lacks, with at most `max_entries` entries.
     log_tail entries_after(base::config_version after, std::size_t max_entries = 256) const;
 
   private:
@@ -206,7 +211,7 @@
         base::instant deadline;
         base::instant retry_at;
         base::milliseconds retry_delay{0};
-        /// A create may have reached the service: only reading the entry can tell.
+        /// Whether a create may have reached the service, so that the entry must be read.
         bool in_doubt = false;
         std::string failure;
     };
@@ -224,23 +229,23 @@
     void on(const follower_changed& event, base::instant now, actions& out);
     void on(const log_tick& event, base::instant now, actions& out);
 
-    void take(const configuration_ptr& snapshot, const std::vector<log_entry>& entries,
-              base::instant now, actions& out);
-    void take_snapshot(const configuration_ptr& snapshot, actions& out);
-    void take_entry(const log_entry& entry, actions& out);
+    void apply_received(const configuration_ptr& snapshot, const std::vector<log_entry>& entries,
+                        base::instant now, actions& out);
+    void apply_snapshot(const configuration_ptr& snapshot, actions& out);
+    void apply_entry(const log_entry& entry, actions& out);
     void install(configuration_ptr next, actions& out);
-    void note_divergence(const log_entry& entry, actions& out);
-    const log_entry* kept(base::config_version version) const;
+    void report_divergence(const log_entry& entry, actions& out);
+    const log_entry* find_kept_entry(base::config_version version) const;
 
     void send_create(proposal& waiting, actions& out);
     void start_settling(proposal& waiting, base::instant now, actions& out);
     void settle_proposals(base::instant now, actions& out);
-    /// Whether an entry of this change may exist or come to exist.
-    static bool may_have_run(const proposal& waiting);
+    /// Returns whether an entry of this change may exist now or later.
+    static bool may_have_executed(const proposal& waiting);
     bool settle_from_log(const proposal& waiting, actions& out);
     void expire_or_retry(base::instant now, actions& out);
     void finish(const proposal& waiting, absl::StatusOr<base::config_version> result, actions& out);
-    absl::Status conflict_status(const change& loser, const change& winner) const;
+    absl::Status conflict_status(const change& rejected, const change& accepted) const;
 
     void start_reading(base::instant now, actions& out);
     void wait_before_reading(base::instant now);
--- a/src/pearbarrow/config/log_proposals.cc
+++ b/src/pearbarrow/config/log_proposals.cc
@@ -1,4 +1,4 @@
-/// The part of `log_core` that brings an operator's change to its final answer.
+/// The part of `log_core` that determines the result of a proposed change.
 #include <algorithm>
 
 #include <spdlog/fmt/fmt.h>
@@ -12,13 +12,13 @@
 
 constexpr std::string_view propose_step = "propose_change";
 constexpr std::string_view store_peer = "key_value_service";
-/// When to come back during an outage of the service.
-constexpr base::milliseconds outage_retry{5'000};
-constexpr base::milliseconds behind_retry{500};
+/// Retry delay returned during an outage of the service.
+constexpr base::milliseconds outage_retry_delay{5'000};
+constexpr base::milliseconds behind_retry_delay{500};
 
-absl::Status refusal(absl::StatusCode code, std::string_view message, std::string_view reason,
-                     base::executed was_executed,
-                     std::optional<base::milliseconds> retry_after = std::nullopt) {
+absl::Status make_proposal_error(absl::StatusCode code, std::string_view message,
+                                 std::string_view reason, base::executed was_executed,
+                                 std::optional<base::milliseconds> retry_after = std::nullopt) {
     return base::make_error(code, message,
                             {.step = std::string(propose_step),
                              .peer = std::string(store_peer),
@@ -44,16 +44,17 @@
     }
     if (event.content.base_version > current_->version()) {
         finish(waiting,
-               refusal(absl::StatusCode::kUnavailable,
-                       fmt::format("this node is at version {} and has not learned version {} yet",
-                                   current_->version().value(), event.content.base_version.value()),
-                       "config_behind", base::executed::no, behind_retry),
+               make_proposal_error(
+                   absl::StatusCode::kUnavailable,
+                   fmt::format("this node is at version {} and has not learned version {} yet",
+                               current_->version().value(), event.content.base_version.value()),
+                   "config_behind", base::executed::no, behind_retry_delay),
                out);
         return;
     }
-    const absl::Status good = to_status(validate_change(*current_, event.content));
-    if (!good.ok()) {
-        finish(waiting, good, out);
+    const absl::Status valid = to_status(validate_change(*current_, event.content));
+    if (!valid.ok()) {
+        finish(waiting, valid, out);
         return;
     }
     if (options_.faults.accept_early) {
@@ -80,7 +81,7 @@
     waiting.request = 0;
     store_reachable_ = event.status.ok() || absl::IsAlreadyExists(event.status);
     if (event.status.ok()) {
-        take(nullptr, {{target_of(waiting.content), waiting.content}}, now, out);
+        apply_received(nullptr, {{target_of(waiting.content), waiting.content}}, now, out);
         return;
     }
     if (absl::IsAlreadyExists(event.status)) {
@@ -89,13 +90,14 @@
     }
     waiting.failure = std::string(event.status.message());
     const bool may_exist = base::details_of(event.status).was_executed != base::executed::no;
-    if (may_exist && options_.faults.trust_lost_answers) {
-        const proposal refused = waiting;
+    if (may_exist && options_.faults.lost_reply_is_rejection) {
+        const proposal rejected = waiting;
         proposals_.erase(found);
-        finish(refused,
-               refusal(absl::StatusCode::kUnavailable, refused.failure, "config_store_unavailable",
-                       base::executed::no, outage_retry),
-               out);
+        finish(
+            rejected,
+            make_proposal_error(absl::StatusCode::kUnavailable, rejected.failure,
+                                "config_store_unavailable", base::executed::no, outage_retry_delay),
+            out);
         return;
     }
     if (may_exist) {
@@ -110,7 +112,7 @@
 void log_core::start_settling(proposal& waiting, base::instant now, actions& out) {
     waiting.phase = proposal_phase::settling;
     waiting.request = next_request();
-    // From before the entry in question, so that the answer tells what is there.
+    // The read starts before the proposed version, so that the reply includes its entry.
     out.emplace_back(read_log{waiting.request, waiting.content.base_version});
 }
 
@@ -119,7 +121,7 @@
     if (target > current_->version()) {
         return false;
     }
-    const log_entry* entry = kept(target);
+    const log_entry* entry = find_kept_entry(target);
     if (entry != nullptr && entry->content.id == waiting.content.id) {
         finish(waiting, target, out);
         return true;
@@ -133,28 +135,30 @@
         finish(waiting, target, out);
         return true;
     }
-    if (may_have_run(waiting) && !newest) {
-        finish(waiting,
-               refusal(absl::StatusCode::kUnavailable,
-                       "the entry was compacted before this node could read whose it was",
-                       "config_outcome_unknown", base::executed::unknown),
-               out);
+    if (may_have_executed(waiting) && !newest) {
+        finish(
+            waiting,
+            make_proposal_error(absl::StatusCode::kUnavailable,
+                                "the entry was compacted before this node could read whose it was",
+                                "config_outcome_unknown", base::executed::unknown),
+            out);
         return true;
     }
-    // A repeated request may have been accepted by its first try, in an entry that is gone.
+    // The first attempt of a retried request may have been accepted in a compacted entry.
     finish(waiting,
-           refusal(absl::StatusCode::kAborted,
-                   fmt::format("version {} is long taken; the newest is {}", target.value(),
-                               current_->version().value()),
-                   "config_conflict", newest ? base::executed::no : base::executed::unknown),
+           make_proposal_error(absl::StatusCode::kAborted,
+                               fmt::format("version {} is long taken; the newest is {}",
+                                           target.value(), current_->version().value()),
+                               "config_conflict",
+                               newest ? base::executed::no : base::executed::unknown),
            out);
     return true;
 }
 
-bool log_core::may_have_run(const proposal& waiting) {
-    // A request still on its way may yet create the entry.
-    const bool on_its_way = waiting.request != 0 && waiting.phase == proposal_phase::creating;
-    return waiting.in_doubt || on_its_way;
+bool log_core::may_have_executed(const proposal& waiting) {
+    // An in-flight request may still create the entry.
+    const bool create_in_flight = waiting.request != 0 && waiting.phase == proposal_phase::creating;
+    return waiting.in_doubt || create_in_flight;
 }
 
 void log_core::settle_proposals(base::instant now, actions& out) {
@@ -166,14 +170,16 @@
     std::erase_if(proposals_, [&](proposal& waiting) {
         if (now >= waiting.deadline) {
             finish(waiting,
-                   may_have_run(waiting)
-                       ? refusal(absl::StatusCode::kUnavailable,
-                                 "no answer from the service; the change may be accepted yet: " +
-                                     waiting.failure,
-                                 "config_outcome_unknown", base::executed::unknown)
-                       : refusal(absl::StatusCode::kUnavailable,
-                                 "the service is not available: " + waiting.failure,
-                                 "config_store_unavailable", base::executed::no, outage_retry),
+                   may_have_executed(waiting)
+                       ? make_proposal_error(
+                             absl::StatusCode::kUnavailable,
+                             "no answer from the service; the change may be accepted yet: " +
+                                 waiting.failure,
+                             "config_outcome_unknown", base::executed::unknown)
+                       : make_proposal_error(absl::StatusCode::kUnavailable,
+                                             "the service is not available: " + waiting.failure,
+                                             "config_store_unavailable", base::executed::no,
+                                             outage_retry_delay),
                    out);
             return true;
         }
@@ -189,12 +195,13 @@
     out.emplace_back(proposal_done{waiting.token, std::move(result)});
 }
 
-absl::Status log_core::conflict_status(const change& loser, const change& winner) const {
-    return refusal(absl::StatusCode::kAborted,
-                   fmt::format("version {} was taken by {} (change {}); the newest is {}",
-                               target_of(loser).value(), winner.author, winner.id,
-                               current_->version().value()),
-                   "config_conflict", base::executed::no);
+absl::Status log_core::conflict_status(const change& rejected, const change& accepted) const {
+    return make_proposal_error(
+        absl::StatusCode::kAborted,
+        fmt::format("version {} was taken by {} (change {}); the newest is {}",
+                    target_of(rejected).value(), accepted.author, accepted.id,
+                    current_->version().value()),
+        "config_conflict", base::executed::no);
 }
 
 }  // namespace pearbarrow::config
--- a/src/pearbarrow/config/objects.h
+++ b/src/pearbarrow/config/objects.h
@@ -1,10 +1,11 @@
-/// Typed objects that operators configure, and their JSON form.
+/// Typed objects configured by operators, and their JSON format.
 ///
-/// An object is a JSON resource `{"kind", "name", "labels", "spec"}`. Unknown fields are refused.
+/// An object is a JSON resource `{"kind", "name", "labels", "spec"}`. Unknown fields are rejected.
 ///
-/// Labels that selectors over programs see are the program's own, then the class's, then the
-/// tenant's, later ones winning so that operators have the last word, and the reserved keys
-/// `class`, `tenant` and `region`, which nobody can set.
+/// Selectors over programs match the labels of the program, its class and its tenant. Labels of the
+/// tenant override those of the class, and both override those of the program, so that operators
+/// have precedence. Selectors also match the reserved keys `class`, `tenant` and `region`, which
+/// can't be set.
 #pragma once
 
 #include <compare>
@@ -37,7 +38,7 @@
 std::string_view to_string(object_kind kind);
 std::optional<object_kind> parse_object_kind(std::string_view text);
 
-/// Names one object of a configuration.
+/// Identifies an object of a configuration.
 struct object_key {
     object_kind kind = object_kind::pool;
     std::string name;
@@ -45,50 +46,50 @@
     auto operator<=>(const object_key&) const = default;
 };
 
-/// "kind/name".
+/// Formats a key as "kind/name".
 std::string to_string(const object_key& key);
 
-/// Bounds on programs. A field that is not set does not bound. Where several apply (tenant, class,
-/// matching `limit` objects), each holds: the tightest decides.
+/// Bounds on programs. An unset field sets no bound. If several objects apply (tenant, class,
+/// matching `limit` objects), the tightest bound is effective.
 struct limits {
     std::optional<double> calls_per_second;
-    /// Calls that may come at once after a quiet time; only with `calls_per_second`.
+    /// Calls that may arrive at once after an idle period; only with `calls_per_second`.
     std::optional<std::uint64_t> call_burst;
     std::optional<std::uint64_t> programs_at_once;
-    /// Prompt and output tokens reserved by model calls under way.
+    /// Prompt and output tokens reserved by in-flight model calls.
     std::optional<std::uint64_t> tokens_in_flight;
-    /// Calls queued and not yet placed.
+    /// Calls that are queued and not yet placed.
     std::optional<std::uint64_t> queued_calls;
-    /// Model calls in one program.
+    /// Number of model calls in one program.
     std::optional<std::uint64_t> turns;
-    /// Budget units that one program may be opened with.
+    /// Maximum budget of a new program, in budget units.
     std::optional<std::uint64_t> budget;
-    /// Longest life of a program.
+    /// Maximum lifetime of a program.
     std::optional<base::milliseconds> run_time;
-    /// Longest pause between two calls of a program.
+    /// Maximum idle time between two calls of a program.
     std::optional<base::milliseconds> idle_time;
-    /// A program that makes this many calls in a row with the same content is ended as looping.
+    /// Number of consecutive calls with equal content after which a program is ended as looping.
     std::optional<std::uint64_t> repeated_calls;
 
     auto operator<=>(const limits&) const = default;
 };
 
-/// A labelled group of engines of one model.
+/// A labeled group of engines that serve one model.
 struct pool_spec {
     base::model_name model;
-    /// Most engines of one dispatcher's cell, 1 to 16.
+    /// Maximum number of engines in the cell of one dispatcher, 1 to 16.
     std::uint32_t cell_size = 8;
 
     auto operator<=>(const pool_spec&) const = default;
 };
 
-/// What one engine can hold at once.
+/// Capacity of one engine.
 struct engine_capacity {
-    /// Sequences decoded at once.
+    /// Sequences decoded concurrently.
     std::uint32_t sequences = 32;
-    /// Tokens that the KV cache holds.
+    /// Size of the KV cache in tokens.
     std::uint64_t cache_tokens = 1'000'000;
-    /// Longest prompt and output together.
+    /// Maximum total length of prompt and output in tokens.
     std::uint64_t context_tokens = 300'000;
 
     auto operator<=>(const engine_capacity&) const = default;
@@ -107,13 +108,13 @@
     /// "ip:port" of its HTTP interface.
     std::string address;
     base::pool_id pool;
-    /// The model it serves; empty: the pool's.
+    /// Model that the engine serves. If empty, the model of the pool.
     base::model_name model;
-    /// Node name in the machine list, when it differs from the object's name.
+    /// Node name in the machine list, if it differs from the name of the object.
     std::string machine;
     engine_capacity capacity;
     token_cost cost;
-    /// An operator's order: no new work is placed here.
+    /// Whether an operator has drained the engine, so that no new work is placed on it.
     bool draining = false;
 
     auto operator<=>(const engine_spec&) const = default;
@@ -122,13 +123,13 @@
 /// One tool of a tool service.
 struct tool_spec {
     base::tool_name name;
-    /// Running it twice does no harm. A tool that is not repeatable runs at most once.
+    /// Whether the tool may run twice. A tool that is not repeatable runs at most once.
     bool repeatable = false;
-    /// The service can say by idempotency key whether it ran a request.
+    /// Whether the service can look up by idempotency key whether it executed a request.
     bool queryable = false;
-    /// Budget units of one call.
+    /// Cost of one call in budget units.
     std::uint64_t cost = 1;
-    /// Longest run of one attempt.
+    /// Maximum execution time of one attempt.
     base::milliseconds timeout{30'000};
 
     auto operator<=>(const tool_spec&) const = default;
@@ -138,38 +139,38 @@
 struct tool_service_spec {
     std::string address;
     std::vector<tool_spec> tools;
-    /// Node name in the machine list, when it differs from the object's name.
+    /// Node name in the machine list, if it differs from the name of the object.
     std::string machine;
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     std::uint32_t concurrency = 64;
     bool draining = false;
 
-    /// The tool of that name, or null.
+    /// Returns the tool with this name, or null.
     const tool_spec* find(const base::tool_name& name) const;
     auto operator<=>(const tool_service_spec&) const = default;
 };
 
-/// A kind of program, such as `pairing-agent`.
+/// A class of programs, such as `pairing-agent`.
 struct program_class_spec {
-    /// Higher runs first. -100 to 100.
+    /// Programs with a higher priority run first. -100 to 100.
     std::int32_t default_priority = 0;
     limits bounds;
 
     auto operator<=>(const program_class_spec&) const = default;
 };
 
-/// A customer whose programs nobody else sees.
+/// A customer, whose programs are isolated from those of other tenants.
 struct tenant_spec {
-    /// SHA-256 of each API key, 64 lower-case hexadecimal digits.
+    /// SHA-256 hashes of the API keys, each 64 lower-case hexadecimal digits.
     std::vector<std::string> api_key_sha256;
-    /// Share under contention, relative to other tenants.
+    /// Share under contention, relative to the weights of other tenants.
     double weight = 1.0;
     limits bounds;
 
     auto operator<=>(const tenant_spec&) const = default;
 };
 
-/// Bounds on all programs that a selector matches.
+/// Bounds on all programs that match a selector.
 struct limit_spec {
     selector programs;
     limits bounds;
@@ -179,13 +180,13 @@
 
 enum class rule_effect { allow, deny };
 
-/// How much each aim counts when engines are compared. Zero switches the aim off.
+/// Weights of the objectives in the comparison of engines. Zero disables an objective.
 struct scheduling_weights {
-    /// Expected time to the program's answer.
+    /// Expected time to the result of the program.
     double latency = 1.0;
-    /// Prefix cache used again, not evicted or abandoned.
+    /// Reuse of prefix cache entries rather than their eviction or abandonment.
     double cache = 0.5;
-    /// Even sharing between tenants.
+    /// Fairness between tenants.
     double fairness = 0.5;
 
     auto operator<=>(const scheduling_weights&) const = default;
@@ -193,40 +194,41 @@
 
 /// Which programs may run on which pools (and tool services), and how.
 ///
-/// A program may run on a pool when at least one `allow` rule matches both and no `deny` rule does.
-/// Where several `allow` rules match, the one with the highest `precedence`, then the smallest
-/// name, gives the priority and the weights. A selector over pools sees the pool's or tool
-/// service's labels and the reserved keys `pool`, `model` (engines) or `tool_service`.
+/// A program may run on a pool if at least one `allow` rule matches both and no `deny` rule does.
+/// If several `allow` rules match, the rule with the highest `precedence`, then the smallest name,
+/// sets the priority and the weights. Selectors over pools match the labels of the pool or tool
+/// service and the reserved keys `pool`, `model` (engines) or `tool_service`.
 struct scheduling_rule_spec {
     selector programs;
     selector pools;
     rule_effect effect = rule_effect::allow;
     std::int32_t precedence = 0;
-    /// Replaces the class's default priority, when set. -100 to 100.
+    /// Overrides the default priority of the class if set. -100 to 100.
     std::optional<std::int32_t> priority;
     scheduling_weights weights;
 
     auto operator<=>(const scheduling_rule_spec&) const = default;
 };
 
-/// The replicas of one shard's journal.
+/// Replicas of the journal of one shard.
 struct shard_assignment {
     base::shard_id shard;
     base::region_name region;
     std::vector<base::node_id> replicas;
-    /// Grows with each change of the replicas.
+    /// Increases with each change of the replicas.
     std::uint64_t epoch = 1;
-    /// A new replica that copies the data and does not count yet.
+    /// New replica that copies the data and is not yet a voter.
     std::optional<base::node_id> joining;
 
     auto operator<=>(const shard_assignment&) const = default;
 };
 
-/// Where each shard's journal lives. One object, named `default`; its shards are 0 .. n-1.
+/// Assignment of the journals of shards to nodes. A single object named `default`, with the shards
+/// 0 .. n-1.
 struct shard_map_spec {
     std::vector<shard_assignment> shards;
 
-    /// The shard's assignment, or null.
+    /// Returns the assignment of the shard, or null.
     const shard_assignment* find(base::shard_id shard) const;
     auto operator<=>(const shard_map_spec&) const = default;
 };
@@ -245,17 +247,17 @@
     auto operator<=>(const object&) const = default;
 };
 
-/// One mistake in a configuration, e.g. {"engine/e1", "spec.capacity.sequences", "must be ..."}.
+/// A problem in a configuration, e.g. {"engine/e1", "spec.capacity.sequences", "must be ..."}.
 struct field_error {
     std::string object;
-    /// Path of the field from the object's top; empty: the whole object.
+    /// Path of the field within the object. If empty, the whole object.
     std::string field;
     std::string message;
 
     auto operator<=>(const field_error&) const = default;
 };
 
-/// An object, or every mistake found in its JSON.
+/// An object, or all problems found in its JSON.
 struct object_parse_result {
     std::optional<object> value;
     std::vector<field_error> errors;
@@ -264,11 +266,11 @@
 object_parse_result object_from_json(const nlohmann::json& json);
 nlohmann::json to_json(const object& value);
 
-/// kInvalidArgument, reason `invalid_configuration`, with every mistake in the message, one a line;
-/// ok when there is none.
+/// Returns ok if there are no errors. Otherwise, returns kInvalidArgument, reason
+/// `invalid_configuration`, with one line per error in the message.
 absl::Status to_status(const std::vector<field_error>& errors);
 
-/// The form in which API keys are stored: SHA-256 as 64 lower-case hexadecimal digits.
+/// Returns the stored form of an API key: its SHA-256 as 64 lower-case hexadecimal digits.
 std::string api_key_digest(std::string_view api_key);
 
 }  // namespace pearbarrow::config
--- a/src/pearbarrow/config/objects_json.cc
+++ b/src/pearbarrow/config/objects_json.cc
@@ -22,7 +22,7 @@
 }
 
 void read_limits(json_reader& parent, limits& out) {
-    const json* field = parent.take("limits");
+    const json* field = parent.find_known("limits");
     if (field == nullptr) {
         return;
     }
@@ -65,7 +65,7 @@
 }
 
 void read_capacity(json_reader& parent, engine_capacity& out) {
-    const json* field = parent.take("capacity");
+    const json* field = parent.find_known("capacity");
     if (field == nullptr) {
         return;
     }
@@ -77,7 +77,7 @@
 }
 
 void read_cost(json_reader& parent, token_cost& out) {
-    const json* field = parent.take("cost");
+    const json* field = parent.find_known("cost");
     if (field == nullptr) {
         return;
     }
@@ -121,10 +121,10 @@
     reader.finish();
 }
 
-/// Reads a list of objects, each by `read_item(reader, item)`.
+/// Reads a list of objects and calls `read_item(reader, item)` for each.
 template <typename Item, typename ReadItem>
 void read_list(json_reader& parent, const char* name, std::vector<Item>& out, ReadItem read_item) {
-    const json* field = parent.take(name);
+    const json* field = parent.find_known(name);
     if (field == nullptr || !field->is_array()) {
         parent.add_error(parent.path_of(name), field == nullptr ? "is missing" : "must be a list");
         return;
@@ -190,7 +190,7 @@
 }
 
 void read_weights(json_reader& parent, scheduling_weights& out) {
-    const json* field = parent.take("weights");
+    const json* field = parent.find_known("weights");
     if (field == nullptr) {
         return;
     }
@@ -282,7 +282,7 @@
     return pool_spec{};
 }
 
-/// How mistakes name the object: "kind/name" as far as the JSON gives them.
+/// Returns the name of the object in problems: "kind/name", as far as the JSON contains them.
 std::string display_name(const json& value) {
     const auto text = [&](const char* name) {
         const auto found = value.is_object() ? value.find(name) : value.end();
@@ -300,7 +300,7 @@
     object parsed;
     const std::optional<object_key> key = read_object_key(reader);
     reader.optional("labels", parsed.labels);
-    const json* spec = reader.take("spec");
+    const json* spec = reader.find_known("spec");
     if (spec == nullptr) {
         reader.add_error("spec", "is missing");
     } else if (key) {
--- a/src/pearbarrow/config/persistent_copy.cc
+++ b/src/pearbarrow/config/persistent_copy.cc
@@ -19,7 +19,7 @@
         {.step = "configuration_copy", .peer = file.string(), .reason = std::string(reason)});
 }
 
-/// The first line: a hash of the rest, so that a torn file is told from a whole one.
+/// Returns the first line of the file, a hash of the rest that detects torn files.
 std::string checksum_line(std::string_view text) {
     return fmt::format("{:016x}\n", base::stable_hash(text));
 }
@@ -27,19 +27,19 @@
 }  // namespace
 
 absl::Status save_copy(const std::filesystem::path& file, const configuration& value) {
-    const std::filesystem::path fresh = file.string() + ".new";
+    const std::filesystem::path temporary = file.string() + ".new";
     const std::string text = encode_configuration(value);
     {
-        std::ofstream out(fresh, std::ios::binary | std::ios::trunc);
+        std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
         out << checksum_line(text) << text;
         out.flush();
         if (!out) {
-            return file_error(absl::StatusCode::kUnavailable, fresh, "cannot be written",
+            return file_error(absl::StatusCode::kUnavailable, temporary, "cannot be written",
                               "copy_not_written");
         }
     }
     std::error_code failure;
-    std::filesystem::rename(fresh, file, failure);
+    std::filesystem::rename(temporary, file, failure);
     if (failure) {
         return file_error(absl::StatusCode::kUnavailable, file, failure.message(),
                           "copy_not_written");
--- a/src/pearbarrow/config/persistent_copy.h
+++ b/src/pearbarrow/config/persistent_copy.h
@@ -1,5 +1,6 @@
-/// A node's copy of the configuration in its data folder, so that it can start during an outage of
-/// the platform without waiting for a peer. Optional: a node without a disk learns from peers.
+/// Copy of the configuration in the data folder of a node. It lets the node start during an outage
+/// of the platform without waiting for a peer. A node without a disk fetches the configuration from
+/// peers.
 #pragma once
 
 #include <filesystem>
@@ -11,10 +12,11 @@
 
 namespace pearbarrow::config {
 
-/// Replaces the copy in `file` as one step, by a rename.
+/// Replaces the copy in `file` atomically by a rename.
 absl::Status save_copy(const std::filesystem::path& file, const configuration& value);
 
-/// kNotFound when there is no copy; kDataLoss when it is torn or damaged: then learn from peers.
+/// Loads the copy. Fails with kNotFound if there is no copy and with kDataLoss if it is torn or
+/// damaged. The caller then fetches the configuration from peers.
 absl::StatusOr<configuration_ptr> load_copy(const std::filesystem::path& file);
 
 }  // namespace pearbarrow::config
--- a/src/pearbarrow/config/selector.cc
+++ b/src/pearbarrow/config/selector.cc
@@ -21,7 +21,8 @@
     return is_alphanumeric(c) || c == '-' || c == '_' || c == '.';
 }
 
-/// A Kubernetes qualified name: alphanumeric at both ends, at most 63 bytes.
+/// Returns whether the text is a Kubernetes qualified name: alphanumeric at both ends, at most 63
+/// bytes.
 bool is_qualified_name(std::string_view text) {
     if (text.empty() || text.size() > max_name_bytes) {
         return false;
@@ -66,7 +67,7 @@
             if (at_end()) {
                 return selector(std::move(requirements));
             }
-            if (!take(",")) {
+            if (!consume(",")) {
                 return expected("',' or the end");
             }
         }
@@ -75,7 +76,7 @@
   private:
     absl::StatusOr<requirement> parse_requirement() {
         skip_spaces();
-        const bool negated = take("!");
+        const bool negated = consume("!");
         auto key = parse_key();
         if (!key.ok()) {
             return key.status();
@@ -84,16 +85,16 @@
             return requirement{*key, selector_operator::does_not_exist, {}};
         }
         skip_spaces();
-        if (take("!=")) {
+        if (consume("!=")) {
             return parse_single(*key, selector_operator::not_in);
         }
-        if (take("==") || take("=")) {
+        if (consume("==") || consume("=")) {
             return parse_single(*key, selector_operator::in);
         }
-        if (take_word("notin")) {
+        if (consume_word("notin")) {
             return parse_list(*key, selector_operator::not_in);
         }
-        if (take_word("in")) {
+        if (consume_word("in")) {
             return parse_list(*key, selector_operator::in);
         }
         return requirement{*key, selector_operator::exists, {}};
@@ -136,7 +137,7 @@
 
     absl::StatusOr<requirement> parse_list(std::string key, selector_operator op) {
         skip_spaces();
-        if (!take("(")) {
+        if (!consume("(")) {
             return expected("'('");
         }
         requirement result{std::move(key), op, {}};
@@ -147,10 +148,10 @@
             }
             result.values.push_back(*std::move(value));
             skip_spaces();
-            if (take(")")) {
+            if (consume(")")) {
                 break;
             }
-            if (!take(",")) {
+            if (!consume(",")) {
                 return expected("',' or ')'");
             }
         }
@@ -168,7 +169,7 @@
         }
     }
 
-    bool take(std::string_view token) {
+    bool consume(std::string_view token) {
         if (text_.substr(position_, token.size()) != token) {
             return false;
         }
@@ -176,7 +177,7 @@
         return true;
     }
 
-    bool take_word(std::string_view word) {
+    bool consume_word(std::string_view word) {
         const std::size_t start = position_;
         if (read_word() == word) {
             return true;
--- a/src/pearbarrow/config/selector.h
+++ b/src/pearbarrow/config/selector.h
@@ -20,7 +20,7 @@
 
 namespace pearbarrow::config {
 
-/// Longest key and value of a label, in bytes.
+/// Maximum sizes of the key and value of a label, in bytes.
 inline constexpr std::size_t max_label_key_bytes = 63 + 1 + 253;
 inline constexpr std::size_t max_label_value_bytes = 63;
 
@@ -34,7 +34,7 @@
     const std::string* find(std::string_view key) const;
     void set(std::string key, std::string value) { items_[std::move(key)] = std::move(value); }
     void erase(std::string_view key);
-    /// Adds the labels of `other`; on a shared key `other` wins.
+    /// Adds the labels of `other`, which override labels with the same key.
     void merge(const label_set& other);
     const std::map<std::string, std::string, std::less<>>& items() const { return items_; }
     bool empty() const { return items_.empty(); }
@@ -71,7 +71,7 @@
         : requirements_(std::move(requirements)) {}
 
     bool matches(const label_set& labels) const;
-    /// The first requirement that does not hold, or none: for explaining a refusal.
+    /// Returns the first requirement that does not hold, or nothing. Explains a rejection.
     const requirement* first_unmet(const label_set& labels) const;
     const std::vector<requirement>& requirements() const { return requirements_; }
 
@@ -81,11 +81,11 @@
     std::vector<requirement> requirements_;
 };
 
-/// Parses a selector. Fails with kInvalidArgument, reason `bad_selector`; the message names the
-/// position, counted from 1, and what was expected there.
+/// Parses a selector. Fails with kInvalidArgument, reason `bad_selector`. The message states the
+/// position, starting at 1, and the expected token.
 absl::StatusOr<selector> parse_selector(std::string_view text);
 
-/// Canonical text, which `parse_selector` reads back to an equal selector.
+/// Returns the canonical text, which `parse_selector` parses to an equal selector.
 std::string to_string(const selector& value);
 std::string to_string(const requirement& value);
 
--- a/src/pearbarrow/config/validate.cc
+++ b/src/pearbarrow/config/validate.cc
@@ -11,16 +11,16 @@
 namespace pearbarrow::config {
 namespace {
 
-constexpr std::int32_t lowest_priority = -100;
-constexpr std::int32_t highest_priority = 100;
-constexpr std::uint32_t largest_cell = 16;
-/// The fourth only while one replica stands in for another.
-constexpr std::size_t most_replicas = 4;
-constexpr std::size_t most_new_replicas = 3;
-constexpr std::size_t digest_characters = 64;
-constexpr double largest_weight = 1e6;
-
-/// Collects the mistakes of one object.
+constexpr std::int32_t min_priority = -100;
+constexpr std::int32_t max_priority = 100;
+constexpr std::uint32_t max_cell_size = 16;
+/// The fourth replica exists only while one replica replaces another.
+constexpr std::size_t max_replicas = 4;
+constexpr std::size_t max_initial_replicas = 3;
+constexpr std::size_t digest_digits = 64;
+constexpr double max_weight = 1e6;
+
+/// Collects the problems of one object.
 class object_checker {
   public:
     object_checker(const object& value, std::vector<field_error>& errors)
@@ -95,12 +95,12 @@
     }
 
     static bool in_priority_range(std::int32_t priority) {
-        return priority >= lowest_priority && priority <= highest_priority;
+        return priority >= min_priority && priority <= max_priority;
     }
 
     void check_spec(const pool_spec& spec) {
         require(!spec.model.value().empty(), "spec.model", "must not be empty");
-        require(spec.cell_size >= 1 && spec.cell_size <= largest_cell, "spec.cell_size",
+        require(spec.cell_size >= 1 && spec.cell_size <= max_cell_size, "spec.cell_size",
                 "must be from 1 to 16");
     }
 
@@ -134,11 +134,11 @@
     }
 
     void check_spec(const tenant_spec& spec) {
-        require(spec.weight > 0 && spec.weight <= largest_weight, "spec.weight",
+        require(spec.weight > 0 && spec.weight <= max_weight, "spec.weight",
                 "must be above 0, at most 1000000");
         for (std::size_t index = 0; index < spec.api_key_sha256.size(); ++index) {
             const std::string& digest = spec.api_key_sha256[index];
-            const bool good = digest.size() == digest_characters &&
+            const bool good = digest.size() == digest_digits &&
                               digest.find_first_not_of("0123456789abcdef") == std::string::npos;
             require(good, fmt::format("spec.api_key_sha256[{}]", index).c_str(),
                     "must be 64 lower-case hexadecimal digits");
@@ -152,7 +152,7 @@
     }
 
     void check_weight(const char* field, double weight) {
-        require(weight >= 0 && weight <= largest_weight, field, "must be from 0 to 1000000");
+        require(weight >= 0 && weight <= max_weight, field, "must be from 0 to 1000000");
     }
 
     void check_spec(const scheduling_rule_spec& spec) {
@@ -178,7 +178,7 @@
         require(!each.region.value().empty(), (path + ".region").c_str(), "must not be empty");
         require(each.epoch > 0, (path + ".epoch").c_str(), "must be above 0");
         const std::set<base::node_id> nodes(each.replicas.begin(), each.replicas.end());
-        require(!nodes.empty() && nodes.size() <= most_replicas, (path + ".replicas").c_str(),
+        require(!nodes.empty() && nodes.size() <= max_replicas, (path + ".replicas").c_str(),
                 "must be 1 to 3 nodes, or 4 while one is replaced");
         require(nodes.size() == each.replicas.size(), (path + ".replicas").c_str(),
                 "must not name a node twice");
@@ -191,7 +191,7 @@
     std::vector<field_error>& errors_;
 };
 
-/// Checks what one changed object means together with all others.
+/// Checks one changed object against all other objects.
 class reference_checker {
   public:
     reference_checker(const configuration& before, const configuration& after,
@@ -270,11 +270,12 @@
         }
     }
 
-    /// Whether a tenant other than `name` has the digest after the change. The index of `after_`
-    /// names one holder; a holder that the change did not touch is in the index of `before_`.
+    /// Returns whether a tenant other than `name` has the digest after the change. The index of
+    /// `after_` contains only one owner of the digest. An owner that the change does not modify is
+    /// in the index of `before_`.
     bool key_is_shared(const std::string& name, const std::string& digest) const {
-        const object* holder = after_.tenant_by_key_digest(digest);
-        if (holder != nullptr && holder->name != name) {
+        const object* owner = after_.tenant_by_key_digest(digest);
+        if (owner != nullptr && owner->name != name) {
             return true;
         }
         const object* earlier = before_.tenant_by_key_digest(digest);
@@ -289,7 +290,7 @@
     void check_shard_map(const object& value, const shard_map_spec& map) {
         const auto* earlier = before_.find_spec<shard_map_spec>(value.name);
         if (earlier == nullptr) {
-            check_first_map(value.key(), map);
+            check_initial_map(value.key(), map);
             return;
         }
         if (map.shards.size() != earlier->shards.size()) {
@@ -301,17 +302,17 @@
         }
     }
 
-    void check_first_map(const object_key& key, const shard_map_spec& map) {
+    void check_initial_map(const object_key& key, const shard_map_spec& map) {
         for (std::size_t index = 0; index < map.shards.size(); ++index) {
-            if (map.shards[index].replicas.size() > most_new_replicas) {
+            if (map.shards[index].replicas.size() > max_initial_replicas) {
                 add(key, fmt::format("spec.shards[{}].replicas", index),
-                    fmt::format("must be 1 to {} nodes at first", most_new_replicas));
+                    fmt::format("must be 1 to {} nodes at first", max_initial_replicas));
             }
         }
     }
 
-    /// One member at a time (docs/design/journal.md): to swap one for another in one epoch would
-    /// let two majorities miss each other.
+    /// Allows one replica to be added or removed per epoch (docs/design/journal.md). Replacing a
+    /// replica in one epoch would allow two majorities without a common member.
     void check_reassignment(const object_key& key, std::size_t index,
                             const shard_assignment& before, const shard_assignment& after) {
         const std::string path = fmt::format("spec.shards[{}]", index);
@@ -336,7 +337,7 @@
         }
     }
 
-    /// How many of `nodes` are not in `others`.
+    /// Returns the number of `nodes` that are not in `others`.
     static long count_missing(const std::vector<base::node_id>& nodes,
                               const std::vector<base::node_id>& others) {
         return std::count_if(nodes.begin(), nodes.end(), [&](const base::node_id& node) {
--- a/src/pearbarrow/config/validate.h
+++ b/src/pearbarrow/config/validate.h
@@ -1,4 +1,4 @@
-/// Checks of a change against the configuration that it is made for, before it is written.
+/// Validates a change against its base configuration before it is written.
 #pragma once
 
 #include <vector>
@@ -8,14 +8,15 @@
 
 namespace pearbarrow::config {
 
-/// Largest change, as encoded, that the log takes: etcd refuses requests above 1.5 MiB.
+/// Maximum size of an encoded change. etcd rejects requests above 1.5 MiB.
 inline constexpr std::size_t max_change_bytes = 1'000'000;
 
-/// Every mistake that the change would bring in: names, labels, ranges, references to objects that
-/// would not exist, keys of two tenants that are the same, objects still referred to. Empty: good.
+/// Returns all problems of the change: invalid names, labels and values, references to missing
+/// objects, API keys shared by tenants, and removal of objects that are still referenced. Empty if
+/// the change is valid.
 std::vector<field_error> validate_change(const configuration& current, const change& next);
 
-/// Mistakes within one object, whatever the others are.
+/// Returns the problems within one object, independent of other objects.
 std::vector<field_error> validate_object(const object& value);
 
 }  // namespace pearbarrow::config
--- a/tests/simulation/config/config_simulation.h
+++ b/tests/simulation/config/config_simulation.h
@@ -1,6 +1,6 @@
-/// Many `log_core`s, a simulated key-value service and gossip between them, in virtual time, with a
-/// checker of invariant 10: versions never go back, an accepted change is never lost, a change said
-/// not to have run never takes effect, all nodes come to the same configuration.
+/// Simulates several `log_core` instances, a key-value service and gossip in virtual time. Checks
+/// invariant 10: versions never decrease, an accepted change is never lost, a change reported as
+/// not executed never takes effect, and all nodes converge to the same configuration.
 #pragma once
 
 #include <cstdint>
@@ -20,14 +20,14 @@
     std::size_t nodes = 8;
     std::size_t followers = 3;
     std::uint64_t seed = 1;
-    /// Probability that the service's answer to a write is lost after it took effect.
-    double lost_answers = 0.1;
-    /// Probability that a peer's answer is lost.
-    double lost_peer_answers = 0.1;
+    /// Probability that the reply to a write is lost after the write took effect.
+    double lost_reply_probability = 0.1;
+    /// Probability that the reply of a peer is lost.
+    double lost_peer_reply_probability = 0.1;
     config::log_core_faults faults;
 };
 
-/// What a run did and what it found wrong.
+/// Counters and violations of one simulation.
 struct config_history {
     std::uint64_t proposals = 0;
     std::uint64_t accepted = 0;
@@ -43,7 +43,8 @@
   public:
     explicit config_simulation(config_simulation_options options);
 
-    /// Runs racing proposers, outages and restarts for `duration`, then a quiet time, and checks.
+    /// Runs concurrent proposals, outages and restarts for `duration`, lets the nodes converge
+    /// without faults, and checks the invariant.
     config_history run(base::milliseconds duration);
 
   private:
@@ -73,29 +74,29 @@
 
     void start(std::size_t index);
     void after(base::microseconds delay, std::function<void()> task);
-    /// Hands an event to a node, unless it was restarted since.
+    /// Delivers an event to a node unless the node has restarted since.
     void deliver(std::size_t index, std::uint64_t process, base::microseconds delay,
                  config::log_event event);
     void apply(std::size_t index, const config::log_event& event);
     void run_until(base::instant end);
     void tick(std::size_t index, std::uint64_t process);
     void gossip();
-    void disturb();
+    void inject_faults();
     void propose(std::size_t index);
-    void feed_watches();
+    void deliver_to_watches();
 
-    void carry_out(std::size_t index, const config::create_entry& action);
-    void carry_out(std::size_t index, const config::read_log& action);
-    void carry_out(std::size_t index, const config::watch_log& action);
-    void carry_out(std::size_t index, const config::cancel_watch& action);
-    void carry_out(std::size_t index, const config::write_snapshot& action);
-    void carry_out(std::size_t index, const config::fetch_from_peer& action);
-    void carry_out(std::size_t index, const config::proposal_done& action);
-    void carry_out(std::size_t index, const config::config_installed& action);
-    void carry_out(std::size_t index, const config::config_diverged& action);
+    void execute(std::size_t index, const config::create_entry& action);
+    void execute(std::size_t index, const config::read_log& action);
+    void execute(std::size_t index, const config::watch_log& action);
+    void execute(std::size_t index, const config::cancel_watch& action);
+    void execute(std::size_t index, const config::write_snapshot& action);
+    void execute(std::size_t index, const config::fetch_from_peer& action);
+    void execute(std::size_t index, const config::proposal_done& action);
+    void execute(std::size_t index, const config::config_installed& action);
+    void execute(std::size_t index, const config::config_diverged& action);
 
     base::microseconds delay();
-    void violation(std::string text);
+    void add_violation(std::string text);
     void check_end();
 
     config_simulation_options options_;
@@ -104,23 +105,23 @@
     std::uint64_t next_order_ = 0;
     std::vector<node> nodes_;
     std::priority_queue<timed_task, std::vector<timed_task>, std::greater<>> tasks_;
-    bool quiet_ = false;
+    bool converging_ = false;
 
-    // The service.
+    // Key-value service.
     bool outage_ = false;
     std::map<std::uint64_t, stored_entry> log_;
     config::configuration_ptr snapshot_;
     std::int64_t revision_ = 0;
-    /// Every entry that ever existed, for the checker: version -> change id.
-    std::map<std::uint64_t, std::string> truth_;
+    /// Change ids of all entries ever created, by version; used by the checker.
+    std::map<std::uint64_t, std::string> created_entries_;
 
     struct proposal_record {
         std::string change_id;
-        bool answered = false;
+        bool completed = false;
     };
     std::map<std::uint64_t, proposal_record> proposals_;
-    std::map<std::string, std::string> said_not_run_;
-    std::map<std::string, std::uint64_t> said_accepted_;
+    std::map<std::string, std::string> reported_not_executed_;
+    std::map<std::string, std::uint64_t> reported_accepted_;
     config_history history_;
 };
 
--- a/tests/simulation/config/config_simulation_test.cc
+++ b/tests/simulation/config/config_simulation_test.cc
@@ -1,4 +1,4 @@
-/// Racing operators, lost answers, outages and restarts against the configuration log.
+/// Tests the configuration log under concurrent proposals, lost replies, outages and restarts.
 #include "config_simulation.h"
 
 #include <string>
@@ -22,8 +22,8 @@
     return config_simulation(options).run(duration);
 }
 
-/// Whether the checker finds a violation in some of the seeds.
-bool caught(pearbarrow::config::log_core_faults faults) {
+/// Returns whether the checker finds a violation with any of the seeds.
+bool is_violation_found(pearbarrow::config::log_core_faults faults) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         if (!run(seed, faults).violations.empty()) {
             return true;
@@ -53,7 +53,7 @@
         "%lu compactions, %lu restarts",
         seeds, total.proposals, total.accepted, total.conflicts, total.refused, total.unknown,
         total.compactions, total.restarts);
-    // The run must have met what it is meant to try.
+    // Each kind of event must have occurred.
     cr_assert_gt(total.accepted, 0);
     cr_assert_gt(total.conflicts, 0);
     cr_assert_gt(total.refused, 0);
@@ -63,13 +63,13 @@
 }
 
 Test(config_simulation, applying_in_any_order_is_caught) {
-    cr_assert(caught({.accept_any_order = true}));
+    cr_assert(is_violation_found({.accept_any_order = true}));
 }
 
 Test(config_simulation, taking_a_lost_answer_for_a_refusal_is_caught) {
-    cr_assert(caught({.trust_lost_answers = true}));
+    cr_assert(is_violation_found({.lost_reply_is_rejection = true}));
 }
 
 Test(config_simulation, accepting_before_the_entry_exists_is_caught) {
-    cr_assert(caught({.accept_early = true}));
+    cr_assert(is_violation_found({.accept_early = true}));
 }
--- a/tests/unit/config/configuration_test.cc
+++ b/tests/unit/config/configuration_test.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Test(configuration, applies_changes_without_touching_the_earlier_version) {
+Test(configuration, change_does_not_modify_earlier_version) {
     const auto first = config::configuration::empty();
     config::change put{
         "c1", base::config_version(0), "a", {config::put_object{engine("e1", "p1")}}};
@@ -53,7 +53,7 @@
     cr_assert_not(fourth->apply(gone).ok());
 }
 
-Test(configuration, indexes_find_engines_tools_and_tenants) {
+Test(configuration, engines_tools_and_tenants_are_found_by_index) {
     config::tool_service_spec tools;
     tools.address = "10.0.0.2:80";
     tools.tools = {{base::tool_name("hold")}};
@@ -76,7 +76,7 @@
     cr_assert((*copy)->objects() == all->objects());
 }
 
-Test(configuration, deny_wins_then_precedence_then_name) {
+Test(configuration, deny_rule_precedes_precedence_and_name) {
     const auto all = config::configuration::make(
         base::config_version(1),
         {rule("b", "class=haggle", "pool=fast", config::rule_effect::allow, 5),
@@ -95,7 +95,7 @@
     cr_assert_null(none.rule);
 }
 
-Test(configuration, operators_labels_win_over_a_programs_own) {
+Test(configuration, operator_labels_override_program_labels) {
     const auto all =
         config::configuration::make(base::config_version(1), {tenant("granite", "key-1")});
     const auto labels = config::program_labels(
--- a/tests/unit/config/log_core_test.cc
+++ b/tests/unit/config/log_core_test.cc
@@ -46,7 +46,7 @@
     std::vector<config::log_action> apply(const config::log_event& event) {
         return core.apply(event, now);
     }
-    /// Proposes and returns the request of the transaction.
+    /// Proposes a change and returns the request id of the transaction.
     std::uint64_t propose(const config::change& change, std::uint64_t token) {
         const auto actions = apply(config::propose{token, change});
         cr_assert_not_null(first<config::create_entry>(actions));
@@ -68,7 +68,7 @@
     cr_assert_eq(node.core.current()->version().value(), 1);
 }
 
-Test(log_core, loser_of_a_race_hears_who_won) {
+Test(log_core, conflict_names_accepted_change) {
     fixture node;
     const auto request = node.propose(label_change("c1", 0, "maria"), 7);
     auto actions =
@@ -85,7 +85,7 @@
     cr_assert(std::string(done->result.status().message()).find("kenji") != std::string::npos);
 }
 
-Test(log_core, lost_answer_is_settled_by_reading_the_entry) {
+Test(log_core, lost_reply_is_resolved_by_reading_entry) {
     fixture node;
     const auto request = node.propose(label_change("c1", 0, "maria"), 7);
     auto actions = node.apply(config::entry_created{request, store_error(base::executed::unknown)});
@@ -96,10 +96,10 @@
     cr_assert(first<config::proposal_done>(actions)->result.ok());
 }
 
-Test(log_core, outage_refuses_with_a_time_or_says_unknown) {
+Test(log_core, outage_reports_retry_delay_or_unknown_outcome) {
     fixture node;
-    const auto refused = node.propose(label_change("c1", 0, "maria"), 1);
-    node.apply(config::entry_created{refused, store_error(base::executed::no)});
+    const auto rejected_request = node.propose(label_change("c1", 0, "maria"), 1);
+    node.apply(config::entry_created{rejected_request, store_error(base::executed::no)});
     node.now += milliseconds(6'000);
     auto actions = node.apply(config::log_tick{});
     const auto* done = first<config::proposal_done>(actions);
@@ -109,8 +109,8 @@
     cr_assert(details.was_executed == base::executed::no);
     cr_assert(details.retry_after.has_value());
 
-    const auto doubtful = node.propose(label_change("c2", 0, "maria"), 2);
-    node.apply(config::entry_created{doubtful, store_error(base::executed::unknown)});
+    const auto unresolved_request = node.propose(label_change("c2", 0, "maria"), 2);
+    node.apply(config::entry_created{unresolved_request, store_error(base::executed::unknown)});
     node.now += milliseconds(6'000);
     actions = node.apply(config::log_tick{});
     done = first<config::proposal_done>(actions);
@@ -120,7 +120,7 @@
     cr_assert(details.was_executed == base::executed::unknown);
 }
 
-Test(log_core, repeated_change_id_gives_the_same_version) {
+Test(log_core, repeated_change_id_returns_same_version) {
     fixture node;
     const auto request = node.propose(label_change("c1", 0, "maria"), 1);
     node.apply(config::entry_created{request, absl::OkStatus()});
@@ -129,7 +129,7 @@
     cr_assert_eq(first<config::proposal_done>(actions)->result->value(), 1);
 }
 
-Test(log_core, invalid_change_is_refused_before_the_write) {
+Test(log_core, invalid_change_is_rejected_before_write) {
     fixture node;
     config::change bad = label_change("c1", 0, "maria");
     bad.operations = {config::set_label{{config::object_kind::pool, "none"}, "a", "b"}};
@@ -138,7 +138,7 @@
     cr_assert(absl::IsInvalidArgument(first<config::proposal_done>(actions)->result.status()));
 }
 
-Test(log_core, follower_reads_then_watches_and_reads_again_after_a_break) {
+Test(log_core, follower_rereads_log_after_watch_ends) {
     fixture node;
     auto actions = node.apply(config::follower_changed{true});
     const auto read = first<config::read_log>(actions)->request;
@@ -150,13 +150,13 @@
     const auto watch_request = watch->request;
     actions = node.apply(config::watch_delivered{watch_request, {entry(2, "c2")}});
     cr_assert_eq(node.core.current()->version().value(), 2);
-    // A gap makes it read the log again.
+    // The log is read again after a gap.
     actions = node.apply(config::watch_delivered{watch_request, {entry(4, "c4")}});
     cr_assert_eq(node.core.current()->version().value(), 2);
     cr_assert_not_null(first<config::read_log>(actions));
 }
 
-Test(log_core, lagging_node_fetches_from_a_peer_and_never_goes_back) {
+Test(log_core, lagging_node_fetches_from_peer_and_version_never_decreases) {
     fixture node;
     auto actions =
         node.apply(config::peer_version_seen{base::node_id("n2"), base::config_version(2)});
@@ -174,7 +174,7 @@
     cr_assert_eq(node.core.entries_after(base::config_version(2)).entries.size(), 0);
 }
 
-Test(log_core, silent_peer_is_given_up_for_another) {
+Test(log_core, unresponsive_peer_is_replaced_by_another) {
     fixture node;
     node.apply(config::peer_version_seen{base::node_id("n2"), base::config_version(2)});
     node.apply(config::peer_version_seen{base::node_id("n3"), base::config_version(2)});
@@ -185,7 +185,7 @@
     cr_assert_eq(fetch->peer.value(), "n3");
 }
 
-Test(log_core, diverging_entry_is_reported_and_not_taken) {
+Test(log_core, diverging_entry_is_reported_and_not_applied) {
     fixture node;
     auto actions = node.apply(config::follower_changed{true});
     actions = node.apply(config::log_read{.request = first<config::read_log>(actions)->request,
--- a/tests/unit/config/objects_test.cc
+++ b/tests/unit/config/objects_test.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Test(objects, every_kind_reads_back_equal) {
+Test(objects, every_kind_round_trips) {
     for (const json& resource : json::parse(resources)) {
         const auto first = config::object_from_json(resource);
         cr_assert(first.value.has_value(), "%s",
@@ -52,7 +52,7 @@
     }
 }
 
-Test(objects, all_mistakes_are_named_at_once) {
+Test(objects, all_problems_are_reported_at_once) {
     const auto result = config::object_from_json(json::parse(R"({
       "kind":"engine","name":"e1","extra":1,"labels":{"a":3},
       "spec":{"address":5,"capacity":{"sequences":-1,"speed":2},"drainning":true}})"));
@@ -65,7 +65,7 @@
     cr_assert_eq(result.errors.front().object, "engine/e1");
 }
 
-Test(objects, numbers_out_of_range_are_refused) {
+Test(objects, numbers_out_of_range_are_rejected) {
     const auto wide = config::object_from_json(
         json::parse(R"({"kind":"pool","name":"p","spec":{"model":"m","cell_size":4294967296}})"));
     cr_assert(has_error(wide.errors, "spec.cell_size"));
@@ -74,7 +74,7 @@
     cr_assert(has_error(fraction.errors, "spec.cell_size"));
 }
 
-Test(objects, bad_selector_names_field_and_position) {
+Test(objects, invalid_selector_names_field_and_position) {
     const auto result = config::object_from_json(json::parse(
         R"({"kind":"limit","name":"l","spec":{"programs":"a in b","limits":{"turns":1}}})"));
     cr_assert(has_error(result.errors, "spec.programs"));
@@ -86,7 +86,7 @@
                  "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-Test(change, every_operation_reads_back_equal) {
+Test(change, every_operation_round_trips) {
     config::change made{"c1", pearbarrow::base::config_version(7), "maria", {}};
     const auto pool = config::object_from_json(json::parse(resources)[0]);
     const config::object_key key{config::object_kind::pool, "p1"};
@@ -97,7 +97,7 @@
     cr_assert(*read == made);
 }
 
-Test(change, malformed_text_is_refused) {
+Test(change, malformed_text_is_rejected) {
     for (const char* text : {"", "[]", "{", "null", R"({"id":"a"})",
                              R"({"id":"a","base_version":1,"author":"b","operations":[{}]})",
                              R"({"id":"a","base_version":-1,"author":"b","operations":[]})"}) {
--- a/tests/unit/config/persistent_copy_test.cc
+++ b/tests/unit/config/persistent_copy_test.cc
@@ -9,7 +9,7 @@
 namespace config = pearbarrow::config;
 namespace base = pearbarrow::base;
 
-Test(persistent_copy, survives_and_tells_a_torn_file) {
+Test(persistent_copy, copy_round_trips_and_torn_file_is_detected) {
     const auto folder = std::filesystem::temp_directory_path() /
                         ("pearbarrow-copy-" + std::to_string(base::random_source::system_seed()));
     std::filesystem::create_directories(folder);
--- a/tests/unit/config/selector_test.cc
+++ b/tests/unit/config/selector_test.cc
@@ -16,7 +16,7 @@
 
 std::string error_of(std::string_view text) {
     const auto parsed = config::parse_selector(text);
-    cr_assert_not(parsed.ok(), "'%s' must be refused", std::string(text).c_str());
+    cr_assert_not(parsed.ok(), "'%s' must be rejected", std::string(text).c_str());
     return std::string(parsed.status().message());
 }
 
@@ -41,7 +41,7 @@
     cr_assert(matches("example.com/team!=a,in,notin", {{"in", "1"}, {"notin", "2"}}));
 }
 
-Test(selector, errors_name_the_position) {
+Test(selector, errors_name_position) {
     cr_assert_eq(error_of("tier in gold"), "position 9: expected '(', found 'g'");
     cr_assert_eq(error_of("tier=gold shop"), "position 11: expected ',' or the end, found 's'");
     cr_assert_eq(error_of("tier=gold,"), "position 11: expected a label key, found the end");
@@ -51,7 +51,7 @@
     cr_assert(error_of("a=-b").find("position 3") == 0);
 }
 
-Test(selector, canonical_text_reads_back) {
+Test(selector, canonical_text_round_trips) {
     for (const char* text : {"a=b", "a!=b", "a in (b, c)", "a notin (b, c)", "a", "!a",
                              "a=b,!c,d in (e, f)", "a=", ""}) {
         const auto parsed = config::parse_selector(text);
@@ -61,7 +61,7 @@
     }
 }
 
-Test(selector, names_the_first_unmet_requirement) {
+Test(selector, first_unmet_requirement_is_returned) {
     const auto parsed = config::parse_selector("tier=gold,shop=rhone,x");
     cr_assert(parsed.ok());
     const config::requirement* unmet = parsed->first_unmet(burgundy);
@@ -69,7 +69,7 @@
     cr_assert_eq(config::to_string(*unmet), "shop=rhone");
 }
 
-Test(labels, limits_of_keys_and_values) {
+Test(labels, invalid_keys_and_values_are_rejected) {
     cr_assert(config::check_label_key("example.com/a.b_c-d").ok());
     cr_assert_not(config::check_label_key("Example.com/a").ok());
     cr_assert_not(config::check_label_key("a/").ok());
