--- a/src/pearbarrow/settings/fleet_settings.h
+++ b/src/pearbarrow/settings/fleet_settings.h
@@ -36,7 +36,8 @@
     /// 0.884 with it. Without a burst, the values are 0.884 and 0.871, because more connections are
     /// opened.
     bool by_cost = true;
-    /// Whether new programs are rejected while their engines are full (`forward/program_admission.h`).
+    /// Whether new programs are rejected while their engines are full
+    /// (`forward/program_admission.h`).
     bool limits_programs = true;
     /// Whether requests to engines carry the priority of the turn (`forward/engine_priority.h`). It
     /// is off because, together with `limits_programs`, a burst of factor 1.5 yields a value of
