--- a/src/pearbarrow/program/budget.cc
+++ b/src/pearbarrow/program/budget.cc
@@ -17,7 +17,7 @@
     spent_ += *spent;
 }
 
-void token_budget::take_back(std::uint64_t tokens) {
+void token_budget::transfer_back(std::uint64_t tokens) {
     transferred_ -= std::min(tokens, transferred_);
 }
 
--- a/src/pearbarrow/program/budget.h
+++ b/src/pearbarrow/program/budget.h
@@ -1,4 +1,4 @@
-/// The token budget of one program: what it may spend, has spent, and holds reserved.
+/// The token budget of one program: its total, spent, reserved and transferred tokens.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,9 @@
 
 namespace pearbarrow::program {
 
-/// Tokens of one program. A reservation is the most that an attempt can cost; it is held from
-/// before the attempt until its true cost is known, and for good when that never becomes known.
+/// Tokens of one program. A reservation is the maximum cost of an attempt. It is made before the
+/// attempt starts and lasts until the actual cost is known; if the cost stays unknown, it is
+/// permanent.
 class token_budget {
   public:
     token_budget() = default;
@@ -18,16 +19,17 @@
     std::uint64_t total() const { return total_; }
     std::uint64_t spent() const { return spent_; }
     std::uint64_t reserved() const { return reserved_; }
-    /// Tokens that are not spent, reserved or handed to sub-programs.
+    /// Tokens that are not spent, reserved or transferred to sub-programs.
     std::uint64_t remaining() const;
     bool covers(std::uint64_t tokens) const { return tokens <= remaining(); }
 
     void reserve(std::uint64_t tokens) { reserved_ += tokens; }
-    /// Ends a reservation. Without `spent` the cost is in doubt and the reservation stays.
+    /// Ends a reservation. Without `spent` the cost is unknown and the reservation stays.
     void settle(std::uint64_t reserved, std::optional<std::uint64_t> spent);
-    /// Hands tokens to a sub-program, and takes back what that did not spend.
+    /// Transfers tokens to a sub-program.
     void transfer_out(std::uint64_t tokens) { transferred_ += tokens; }
-    void take_back(std::uint64_t tokens);
+    /// Returns the tokens that a sub-program did not spend.
+    void transfer_back(std::uint64_t tokens);
 
     MSGPACK_DEFINE(total_, spent_, reserved_, transferred_);
 
--- a/src/pearbarrow/program/counted_limits.h
+++ b/src/pearbarrow/program/counted_limits.h
@@ -1,7 +1,7 @@
-/// What counts against the configured limits of tenants, classes and `limit` objects.
+/// Usage that counts against the configured limits of tenants, classes and `limit` objects.
 ///
-/// The owner of a shard counts its own programs; the node adds up its shards, and the home of a
-/// limit the nodes (node/quota_home.h).
+/// The owner of a shard counts its own programs. A node sums the counts of its shards, and the home
+/// of a limit sums the counts of the nodes (node/quota_home.h).
 #pragma once
 
 #include <cstdint>
@@ -15,28 +15,28 @@
 namespace pearbarrow::program {
 
 enum class quota_counter : std::uint8_t {
-    /// Programs that are open.
+    /// Open programs.
     programs,
-    /// The most that model calls, accepted and not done, can use of prompt and output tokens.
+    /// Maximum number of prompt and output tokens that unfinished model calls can use.
     tokens,
-    /// Calls a second; nothing is held, each call takes one.
+    /// Calls per second. Each call uses one; nothing is reserved.
     calls,
 };
 
-/// One limit: the object that sets it, and what is counted.
+/// Identifies one limit by the object that sets it and the quantity that it counts.
 struct quota_key {
     config::object_key source;
     quota_counter counter = quota_counter::programs;
     auto operator<=>(const quota_key&) const = default;
 };
 
-/// What a new program or call needs of one limit.
+/// The amount that a new program or call needs from one limit.
 struct quota_need {
     quota_key key;
     std::uint64_t amount = 0;
 };
 
-/// Use of the limits of one object.
+/// Current use of the limits of one object.
 struct quota_use {
     std::uint64_t programs = 0;
     std::uint64_t tokens = 0;
@@ -50,9 +50,10 @@
 
 using quota_use_map = std::map<config::object_key, quota_use>;
 
-/// The limits that a new program needs room in; the rate, which is used up by asking, comes last.
+/// Returns the amounts that a new program needs from each limit.
 std::vector<quota_need> needs_of_program(const std::vector<config::applied_bounds>& bounds);
-/// The same for a new call that reserves `tokens`.
+/// Returns the amounts that a new call that reserves `tokens` needs from each limit. The call rates
+/// come last, since a check of a rate already uses it up.
 std::vector<quota_need> needs_of_call(const std::vector<config::applied_bounds>& bounds,
                                       std::uint64_t tokens);
 
--- a/src/pearbarrow/program/history_cache.cc
+++ b/src/pearbarrow/program/history_cache.cc
@@ -8,10 +8,11 @@
 
 namespace {
 
-constexpr std::uint64_t bytes_per_call = 256;
+constexpr std::uint64_t call_overhead_bytes = 256;
 
 std::uint64_t bytes_of(const finished_call& call) {
-    std::uint64_t bytes = bytes_per_call + call.result.output.size() + call.result.decision.size();
+    std::uint64_t bytes =
+        call_overhead_bytes + call.result.output.size() + call.result.decision.size();
     if (call.body.model) {
         for (const wire::chat_message& message : call.body.model->new_messages) {
             bytes += message.content.size() + sizeof(wire::chat_message);
@@ -26,7 +27,7 @@
 }  // namespace
 
 std::uint64_t program_history::bytes() const {
-    std::uint64_t total = bytes_per_call;
+    std::uint64_t total = call_overhead_bytes;
     for (const auto& [number, call] : calls) {
         total += bytes_of(call);
     }
--- a/src/pearbarrow/program/history_cache.h
+++ b/src/pearbarrow/program/history_cache.h
@@ -1,4 +1,4 @@
-/// Recently used conversations, bounded in bytes. The journal keeps all of them.
+/// A cache of recently used conversations, bounded in bytes. The journal keeps all conversations.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace pearbarrow::program {
 
-/// What the journal retains of one finished call.
+/// The data of one finished call that the journal retains.
 struct finished_call {
     wire::call_body body;
     result_record result;
@@ -34,16 +34,16 @@
 absl::StatusOr<program_history> history_from(const base::program_id& program,
                                              const std::vector<std::string>& payloads);
 
-/// Least recently used programs leave first. The newest one stays even when it alone is larger
-/// than the bound, since its call could not run otherwise.
+/// LRU cache of program histories. The most recently used history stays even when it alone exceeds
+/// the bound, since its call could not run otherwise.
 class history_cache {
   public:
     explicit history_cache(std::uint64_t max_bytes) : max_bytes_(max_bytes) {}
 
-    /// The history of `program`, or null when it must be read; counts as a use.
+    /// Returns the history of `program` and marks it as used, or null when it is not cached.
     const program_history* find(const base::program_id& program);
     void put(const base::program_id& program, program_history history);
-    /// Adds a call to a history that is cached; does nothing when it is not.
+    /// Adds a call to a cached history. Does nothing when the history is not cached.
     void add(const base::program_id& program, base::call_number number, finished_call call);
     void erase(const base::program_id& program);
     std::uint64_t bytes() const { return bytes_; }
--- a/src/pearbarrow/program/limits.cc
+++ b/src/pearbarrow/program/limits.cc
@@ -7,15 +7,15 @@
 
 namespace {
 
-std::uint64_t chosen(std::uint64_t own, std::optional<std::uint64_t> configured,
-                     std::uint64_t fallback) {
+std::uint64_t effective_limit(std::uint64_t own, std::optional<std::uint64_t> configured,
+                              std::uint64_t fallback) {
     if (!configured.has_value()) {
         return own == 0 ? fallback : own;
     }
     return own == 0 ? *configured : std::min(own, *configured);
 }
 
-std::optional<std::uint64_t> in_milliseconds(const std::optional<base::milliseconds>& span) {
+std::optional<std::uint64_t> to_milliseconds(const std::optional<base::milliseconds>& span) {
     if (!span.has_value()) {
         return std::nullopt;
     }
@@ -28,11 +28,13 @@
                                const wire::program_limits& defaults) {
     const wire::program_limits& own = program.request.limits;
     wire::program_limits limits;
-    limits.idle_ms = chosen(own.idle_ms, in_milliseconds(configured.idle_time), defaults.idle_ms);
-    limits.run_time_ms =
-        chosen(own.run_time_ms, in_milliseconds(configured.run_time), defaults.run_time_ms);
-    limits.turns = chosen(own.turns, configured.turns, defaults.turns);
-    limits.equal_calls = chosen(own.equal_calls, configured.repeated_calls, defaults.equal_calls);
+    limits.idle_ms =
+        effective_limit(own.idle_ms, to_milliseconds(configured.idle_time), defaults.idle_ms);
+    limits.run_time_ms = effective_limit(own.run_time_ms, to_milliseconds(configured.run_time),
+                                         defaults.run_time_ms);
+    limits.turns = effective_limit(own.turns, configured.turns, defaults.turns);
+    limits.equal_calls =
+        effective_limit(own.equal_calls, configured.repeated_calls, defaults.equal_calls);
     return limits;
 }
 
@@ -58,7 +60,8 @@
 
 namespace {
 
-bool repeats_itself(const program_state& program, std::uint64_t body_hash, std::uint64_t times) {
+bool repeats_last_calls(const program_state& program, std::uint64_t body_hash,
+                        std::uint64_t times) {
     if (times == 0 || program.calls.size() < times) {
         return false;
     }
@@ -79,7 +82,7 @@
         return refusal(absl::StatusCode::kResourceExhausted,
                        "the program has made all the calls it may", "turn_limit");
     }
-    if (repeats_itself(program, body_hash, limits.equal_calls)) {
+    if (repeats_last_calls(program, body_hash, limits.equal_calls)) {
         return refusal(absl::StatusCode::kResourceExhausted,
                        "the program repeats the same call over and over", "loop_detected");
     }
@@ -119,12 +122,12 @@
 
 namespace {
 
-absl::Status too_many(std::string_view what, std::string_view reason,
-                      base::milliseconds retry_after) {
+absl::Status concurrency_refusal(std::string_view what, std::string_view reason,
+                                 base::milliseconds retry_after) {
     return refusal(absl::StatusCode::kResourceExhausted, what, reason, retry_after);
 }
 
-bool reached(std::uint64_t count, std::uint64_t limit) {
+bool limit_reached(std::uint64_t count, std::uint64_t limit) {
     return limit > 0 && count >= limit;
 }
 
@@ -134,14 +137,15 @@
                                      const std::string& program_class,
                                      base::milliseconds retry_after) const {
     const auto* of_tenant = tenant_limit(tenant);
-    if (of_tenant != nullptr && reached(usage_of(tenant).programs, of_tenant->programs)) {
-        return too_many("the tenant has too many programs open", "tenant_concurrency", retry_after);
+    if (of_tenant != nullptr && limit_reached(usage_of(tenant).programs, of_tenant->programs)) {
+        return concurrency_refusal("the tenant has too many programs open", "tenant_concurrency",
+                                   retry_after);
     }
     const auto* of_class = class_limit(program_class);
     if (of_class != nullptr &&
-        reached(usage_of_class(program_class).programs, of_class->programs)) {
-        return too_many("too many programs of the class are open", "class_concurrency",
-                        retry_after);
+        limit_reached(usage_of_class(program_class).programs, of_class->programs)) {
+        return concurrency_refusal("too many programs of the class are open", "class_concurrency",
+                                   retry_after);
     }
     return absl::OkStatus();
 }
@@ -149,15 +153,17 @@
 absl::Status concurrency::check_call(const program_state& program,
                                      base::milliseconds retry_after) const {
     const auto* of_tenant = tenant_limit(program.tenant);
-    if (of_tenant != nullptr && reached(usage_of(program.tenant).calls, of_tenant->running_calls)) {
-        return too_many("the tenant has too many calls running", "tenant_concurrency", retry_after);
+    if (of_tenant != nullptr &&
+        limit_reached(usage_of(program.tenant).calls, of_tenant->running_calls)) {
+        return concurrency_refusal("the tenant has too many calls running", "tenant_concurrency",
+                                   retry_after);
     }
     const std::string& program_class = program.request.program_class;
     const auto* of_class = class_limit(program_class);
     if (of_class != nullptr &&
-        reached(usage_of_class(program_class).calls, of_class->running_calls)) {
-        return too_many("too many calls of the class are running", "class_concurrency",
-                        retry_after);
+        limit_reached(usage_of_class(program_class).calls, of_class->running_calls)) {
+        return concurrency_refusal("too many calls of the class are running", "class_concurrency",
+                                   retry_after);
     }
     return absl::OkStatus();
 }
--- a/src/pearbarrow/program/limits.h
+++ b/src/pearbarrow/program/limits.h
@@ -1,4 +1,4 @@
-/// Refusals before a call is accepted: limits of the program, its tenant and its class.
+/// Admission checks of programs and calls: limits of the program, its tenant and its class.
 #pragma once
 
 #include <cstdint>
@@ -15,28 +15,30 @@
 
 namespace pearbarrow::program {
 
-/// The program's own limits, at most the configured ones; where it names none, the configured one,
-/// else the owner's default.
+/// Returns the limits of a program: the smaller of its own and the configured value, or the one
+/// that is set, or else the owner's default.
 wire::program_limits limits_of(const program_state& program, const config::limits& configured,
                                const wire::program_limits& defaults);
 
-/// Refuses with `budget_above_limit` what a configured bound forbids.
+/// Refuses a budget above the configured bound with `budget_above_limit`.
 absl::Status check_budget(std::uint64_t token_budget, const config::limits& configured);
 
-/// Refuses with `turn_limit` or `loop_detected` (the last `equal_calls` calls have the same hash).
+/// Refuses a call with `turn_limit`, or with `loop_detected` when the last `equal_calls` calls have
+/// the same hash.
 absl::Status check_program_limits(const program_state& program, std::uint64_t body_hash,
                                   const wire::program_limits& limits);
 
-/// A refusal that promises that nothing was run. `retry_after` zero: repeating does not help.
+/// Returns an error that states that nothing was executed. A zero `retry_after` means that a retry
+/// does not help.
 absl::Status refusal(absl::StatusCode code, std::string_view message, std::string_view reason,
                      base::milliseconds retry_after = base::milliseconds(0));
 
-/// Counts open programs and unfinished calls by tenant and by class, and holds their limits.
+/// Counts open programs and unfinished calls by tenant and by class, and checks their limits.
 class concurrency {
   public:
     void set_limits(std::vector<event::concurrency_limit> limits) { limits_ = std::move(limits); }
 
-    /// Refuse with `tenant_concurrency` or `class_concurrency`.
+    /// These checks refuse with `tenant_concurrency` or `class_concurrency`.
     absl::Status check_open(const base::tenant_id& tenant, const std::string& program_class,
                             base::milliseconds retry_after) const;
     absl::Status check_call(const program_state& program, base::milliseconds retry_after) const;
--- a/src/pearbarrow/program/owner_calls.cc
+++ b/src/pearbarrow/program/owner_calls.cc
@@ -1,4 +1,4 @@
-// The life of a call from acceptance to result.
+// Processing of a call from acceptance to result.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A grant older than this is not acted on: its back end may have been marked as leaving since.
+/// An older grant is not used, since its back end may have been marked as leaving in the meantime.
 constexpr base::milliseconds grant_lifetime{1'500};
 
 absl::Status grant_expired(const base::backend_id& backend) {
@@ -71,7 +71,7 @@
         request_history({at.program, at.runtime});
         return;
     }
-    const std::uint64_t cost = most_cost(*at.call.body, at.program.history.tokens());
+    const std::uint64_t cost = max_cost(*at.call.body, at.program.history.tokens());
     if (!at.program.budget.covers(cost) && !options_.disabled.budget_reservation) {
         base::error_details details{.step = "reserve", .reason = "budget_exhausted"};
         details.was_executed = executed_so_far(at);
@@ -144,7 +144,7 @@
     at->active.granted_at = now_;
     at->active.engine_priority = event.engine_priority;
     at->active.pin_lease = event.pin_lease;
-    const std::uint64_t cost = most_cost(*at->call.body, at->program.history.tokens());
+    const std::uint64_t cost = max_cost(*at->call.body, at->program.history.tokens());
     if (!at->program.budget.covers(cost) && !options_.disabled.budget_reservation) {
         finish_placement(*at, wire::attempt_outcome::cancelled, {});
         begin(*at);
@@ -343,7 +343,7 @@
     uncount_call(at);
     if (options_.disabled.journal_before_act) {
         for (const call_reader& reader : std::exchange(at.active.readers, {})) {
-            answer(reader, at.program, at.active.result);
+            send_result(reader, at.program, at.active.result);
         }
     }
     when_committed([this, id = at.program.id, number = at.call.number, body] {
@@ -361,13 +361,13 @@
     }
     const result_record result = at->active.result;
     for (const call_reader& reader : std::exchange(at->active.readers, {})) {
-        answer(reader, at->program, result);
+        send_result(reader, at->program, result);
     }
     program_context of{at->program, at->runtime};
     of.runtime.calls.erase(number);
     of.runtime.last_used = now_;
     advance(of);
-    finish_end_if_quiet(of);
+    finish_end_if_no_calls(of);
     check_limits(of);
 }
 
@@ -416,7 +416,7 @@
             fail(at, base::make_error(code, message, details), 0);
             return;
         case call_stage::intended:
-            // Nothing of this attempt was sent; only earlier attempts can have run.
+            // This attempt was not sent; only earlier attempts can have been executed.
             if (at.call.last_attempt == 1) {
                 details.was_executed = base::executed::no;
             }
--- a/src/pearbarrow/program/owner_ending.cc
+++ b/src/pearbarrow/program/owner_ending.cc
@@ -1,4 +1,4 @@
-// Ending a program, giving its memory back, and forgetting it.
+// End of a program, release of its caches, and removal of its state.
 #include <algorithm>
 #include <utility>
 
@@ -27,10 +27,10 @@
             stop(*call, absl::StatusCode::kCancelled, "the program was ended", reason);
         }
     }
-    finish_end_if_quiet(at);
+    finish_end_if_no_calls(at);
 }
 
-void owner_state::finish_end_if_quiet(program_context at) {
+void owner_state::finish_end_if_no_calls(program_context at) {
     if (!at.runtime.ending || at.runtime.end_appended || !at.runtime.calls.empty()) {
         return;
     }
@@ -42,12 +42,12 @@
     append(at.program, std::move(record));
     when_committed([this, id = at.program.id] {
         if (const auto program = find(id)) {
-            after_end(*program);
+            on_end_committed(*program);
         }
     });
 }
 
-void owner_state::after_end(program_context at) {
+void owner_state::on_end_committed(program_context at) {
     for (const reply_token token : std::exchange(at.runtime.end_waiters, {})) {
         reply_view(token, at.program.id);
     }
@@ -108,39 +108,41 @@
         return;
     }
     const wire::program_limits limits = limits_in_force(at.program);
-    const base::instant run_out = at.runtime.opened_at + base::milliseconds(limits.run_time_ms);
-    if (now_ >= run_out) {
+    const base::instant run_time_end =
+        at.runtime.opened_at + base::milliseconds(limits.run_time_ms);
+    if (now_ >= run_time_end) {
         begin_end(at, "run_time_limit");
         return;
     }
-    wake_at(at.program.id, run_out);
+    wake_at(at.program.id, run_time_end);
     const bool waits_for_child =
         std::any_of(at.program.children.begin(), at.program.children.end(),
                     [](const auto& child) { return !child.second.returned; });
     if (!at.runtime.calls.empty() || !at.runtime.early_calls.empty() || waits_for_child) {
         return;
     }
-    const base::instant idle_out = at.runtime.last_used + base::milliseconds(limits.idle_ms);
-    if (now_ >= idle_out) {
+    const base::instant idle_end = at.runtime.last_used + base::milliseconds(limits.idle_ms);
+    if (now_ >= idle_end) {
         begin_end(at, "idle_limit");
         return;
     }
-    const bool wakes_before =
-        at.runtime.idle_wake && *at.runtime.idle_wake > now_ && *at.runtime.idle_wake <= idle_out;
-    if (!wakes_before) {
-        at.runtime.idle_wake = idle_out;
-        wake_at(at.program.id, idle_out);
+    const bool wakes_earlier =
+        at.runtime.idle_wake && *at.runtime.idle_wake > now_ && *at.runtime.idle_wake <= idle_end;
+    if (!wakes_earlier) {
+        at.runtime.idle_wake = idle_end;
+        wake_at(at.program.id, idle_end);
     }
 }
 
 void owner_state::check_forget(program_context at) {
-    const bool over = at.program.phase == program_phase::released && at.runtime.ended_at &&
-                      now_ >= *at.runtime.ended_at + options_.retention;
+    const bool retention_passed = at.program.phase == program_phase::released &&
+                                  at.runtime.ended_at &&
+                                  now_ >= *at.runtime.ended_at + options_.retention;
     const bool returned = !at.program.request.parent || at.program.budget_returned;
     const bool children_returned =
         std::all_of(at.program.children.begin(), at.program.children.end(),
                     [](const auto& child) { return child.second.returned; });
-    if (!over || !returned || !children_returned || !at.runtime.calls.empty() ||
+    if (!retention_passed || !returned || !children_returned || !at.runtime.calls.empty() ||
         at.runtime.forget_appended) {
         return;
     }
--- a/src/pearbarrow/program/owner_models.cc
+++ b/src/pearbarrow/program/owner_models.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Broken streams in a row after which the engine is given up.
+/// Consecutive broken streams after which the attempt is cancelled.
 constexpr std::uint32_t max_resumes = 3;
 
 std::uint64_t cost_of(const wire::token_usage& usage) {
@@ -18,7 +18,7 @@
     return usage ? std::optional<std::uint64_t>(cost_of(*usage)) : std::nullopt;
 }
 
-bool is_callers_fault(const absl::Status& status) {
+bool is_invalid_request(const absl::Status& status) {
     return status.code() == absl::StatusCode::kInvalidArgument;
 }
 
@@ -50,7 +50,7 @@
         return;
     }
     if (at->active.stage == call_stage::cancelling) {
-        conclude_stop(*at, event.usage);
+        finish_stop(*at, event.usage);
         return;
     }
     if (at->active.stage != call_stage::running) {
@@ -91,7 +91,7 @@
         return;
     }
     if (at->active.stage == call_stage::cancelling) {
-        conclude_stop(*at, event.usage);
+        finish_stop(*at, event.usage);
         return;
     }
     if (at->active.stage != call_stage::running) {
@@ -100,13 +100,13 @@
     const base::error_details details = base::details_of(event.status);
     const bool refused =
         details.was_executed == base::executed::no && details.reason != "stream_unknown";
-    const bool not_taken =
+    const bool never_started =
         refused && at->active.started_here && at->active.last_index == 0 && at->active.tries == 0;
     std::optional<std::uint64_t> spent = cost_of(event.usage);
-    if (!spent && not_taken) {
+    if (!spent && never_started) {
         spent = 0;
     }
-    if (is_callers_fault(event.status)) {
+    if (is_invalid_request(event.status)) {
         finish_placement(*at, wire::attempt_outcome::failed, event.usage);
         fail(*at, event.status, spent);
         return;
@@ -116,11 +116,11 @@
         return;
     }
     if (refused) {
-        // It was the request to resume that the engine did not take; the attempt may well run.
-        lose_stream(*at);
+        // The engine rejected the request to resume; the attempt itself may still run.
+        handle_lost_stream(*at);
         return;
     }
-    // The engine may still have the attempt, or get it late: have it refused first.
+    // The engine may still run the attempt or receive it late, so it is cancelled first.
     set_stage(at->active, call_stage::cancelling);
     stop_model(*at);
 }
@@ -136,11 +136,11 @@
         return;
     }
     if (at->active.stage == call_stage::running) {
-        lose_stream(*at);
+        handle_lost_stream(*at);
     }
 }
 
-void owner_state::lose_stream(call_context at) {
+void owner_state::handle_lost_stream(call_context at) {
     if (at.active.next_try) {
         return;
     }
@@ -165,7 +165,7 @@
 
 void owner_state::stop_model(call_context at) {
     if (now_ >= at.active.stage_since + options_.cancel_wait) {
-        conclude_stop(at, std::nullopt);
+        finish_stop(at, std::nullopt);
         return;
     }
     ++at.active.tries;
@@ -176,7 +176,7 @@
     wake_at(at.program.id, *at.active.next_try);
 }
 
-void owner_state::conclude_stop(call_context at, std::optional<wire::token_usage> usage) {
+void owner_state::finish_stop(call_context at, std::optional<wire::token_usage> usage) {
     if (!usage) {
         at.runtime.unconfirmed_stops[attempt_name(
             at.program.id, at.call.number, at.call.attempt->number)] = at.call.attempt->backend;
--- a/src/pearbarrow/program/owner_quotas.cc
+++ b/src/pearbarrow/program/owner_quotas.cc
@@ -1,4 +1,4 @@
-// What the shard's programs use of the limits that are counted over the fleet.
+// The shard's use of the limits that are counted across the fleet.
 #include <algorithm>
 
 #include "pearbarrow/program/owner_state.h"
@@ -8,13 +8,13 @@
 namespace {
 
 std::uint64_t tokens_of(const wire::call_body& body, std::uint64_t history_tokens) {
-    return body.model ? most_cost(body, history_tokens) : 0;
+    return body.model ? max_cost(body, history_tokens) : 0;
 }
 
 }  // namespace
 
 std::vector<quota_need> owner_state::needs_of(const wire::program_request& request) {
-    if (!recovered_ || lost_ || configuration_ == nullptr) {
+    if (!recovered_ || ownership_lost_ || configuration_ == nullptr) {
         return {};
     }
     if (request.open) {
@@ -23,11 +23,12 @@
                      : needs_of_program(bounds_on(request.tenant, *request.open));
     }
     const auto at = find(request.program);
-    const bool to_open_program = request.submit && at && at->program.open() &&
-                                 !at->runtime.ending && at->program.tenant == request.tenant;
-    const bool one_kind = request.submit && request.submit->body.model.has_value() !=
-                                                request.submit->body.tool.has_value();
-    if (!to_open_program || !one_kind || at->program.find_call(request.submit->number) != nullptr ||
+    const bool targets_open_program = request.submit && at && at->program.open() &&
+                                      !at->runtime.ending && at->program.tenant == request.tenant;
+    const bool has_one_body = request.submit && request.submit->body.model.has_value() !=
+                                                    request.submit->body.tool.has_value();
+    if (!targets_open_program || !has_one_body ||
+        at->program.find_call(request.submit->number) != nullptr ||
         at->program.find_key(request.submit->idempotency_key) != nullptr) {
         return {};
     }
@@ -69,7 +70,7 @@
     at.active.counted_tokens = 0;
 }
 
-void owner_state::count_again() {
+void owner_state::recount_quota_use() {
     quota_use_.clear();
     for (const base::program_id& id : live_programs()) {
         const auto at = find(id);
--- a/src/pearbarrow/program/owner_readers.cc
+++ b/src/pearbarrow/program/owner_readers.cc
@@ -1,4 +1,4 @@
-// Answers to readers, and histories that must be read first.
+// Replies to readers, and reads of histories that are not cached.
 #include <algorithm>
 #include <utility>
 
@@ -44,7 +44,7 @@
 
 void owner_state::deliver(call_reader& reader, base::call_number number, attempt_number attempt,
                           const std::string& text) {
-    const bool gone = !waiting_.contains(reader.token);
+    const bool gone = !waiting_requesters_.contains(reader.token);
     if (gone || !reader.stream || text.empty()) {
         return;
     }
@@ -69,15 +69,15 @@
     reader.offset = text.size();
 }
 
-void owner_state::answer(call_reader reader, const program_state& program,
-                         const result_record& result) {
+void owner_state::send_result(call_reader reader, const program_state& program,
+                              const result_record& result) {
     if (result.failed) {
         reply_error(reader.token, to_status(*result.failed));
         return;
     }
-    const bool beyond_the_end =
+    const bool offset_past_end =
         reader.attempt == result.attempt && reader.offset > result.output.size();
-    if (beyond_the_end) {
+    if (offset_past_end) {
         reader.attempt = 0;
     }
     deliver(reader, result.number, result.attempt, result.output);
@@ -98,7 +98,7 @@
     if (known == nullptr) {
         return nullptr;
     }
-    // Every call whose result is committed must be there: a history with a hole is never used.
+    // The history must contain every call whose result is committed; an incomplete one is not used.
     const auto missing = [&](const auto& entry) {
         const bool committed = entry.second.done() && !at.runtime.calls.contains(entry.first);
         return committed && !known->calls.contains(entry.first);
@@ -124,7 +124,7 @@
         request_history(at);
         return;
     }
-    answer_history_requests(at, *known);
+    serve_history_requests(at, *known);
 }
 
 void owner_state::request_history(program_context at) {
@@ -133,7 +133,7 @@
         return;
     }
     at.runtime.history_requested = true;
-    // Everything appended so far must be there to be read.
+    // The read must include every record appended so far.
     when_committed([this, id = at.program.id] {
         if (find(id)) {
             emit(action::read_retained{id, retention_prefix(id)});
@@ -162,7 +162,7 @@
         return;
     }
     at->runtime.history_tries = 0;
-    answer_history_requests(*at, *known);
+    serve_history_requests(*at, *known);
     for (auto& [number, active] : at->runtime.calls) {
         if (active.stage == call_stage::reading_history) {
             set_stage(active, call_stage::queued);
@@ -176,7 +176,7 @@
     }
 }
 
-void owner_state::answer_history_requests(program_context at, const program_history& history) {
+void owner_state::serve_history_requests(program_context at, const program_history& history) {
     for (const history_request& request : std::exchange(at.runtime.history_requests, {})) {
         const reply_token token = request.reader.token;
         if (request.use == history_use::show_history) {
@@ -196,7 +196,7 @@
         }
         const result_record& result = call->second.result;
         if (request.use == history_use::show_result) {
-            answer(request.reader, at.program, result);
+            send_result(request.reader, at.program, result);
             continue;
         }
         wire::explain_view view;
--- a/src/pearbarrow/program/owner_requests.cc
+++ b/src/pearbarrow/program/owner_requests.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr base::milliseconds recovery_retry{200};
+constexpr base::milliseconds not_owner_retry_after{200};
 
 absl::Status not_found(std::string_view what, std::string_view reason) {
     return refusal(absl::StatusCode::kNotFound, what, reason);
@@ -18,7 +18,7 @@
     return not_found("no such program", "program_not_found");
 }
 
-bool is_whole(const wire::call_body& body) {
+bool is_complete(const wire::call_body& body) {
     if (body.model.has_value() == body.tool.has_value()) {
         return false;
     }
@@ -28,15 +28,16 @@
     return !body.tool->tool.value().empty();
 }
 
-/// Reads `attempt.offset`; anything else counts as "nothing seen".
+/// Parses an event id of the form `attempt.offset`. Any other text means that the reader has
+/// received nothing.
 call_reader reader_at(reply_token token, bool stream, const std::string& last_event_id) {
     call_reader reader{.token = token, .stream = stream, .attempt = 0, .offset = 0};
     const std::size_t dot = last_event_id.find('.');
     const bool digits = last_event_id.find_first_not_of("0123456789.") == std::string::npos;
-    constexpr std::size_t longest = 9;
-    if (!digits || dot == std::string::npos || dot == 0 || dot > longest ||
-        last_event_id.size() - dot - 1 > longest * 2 || dot + 1 == last_event_id.size() ||
-        last_event_id.find('.', dot + 1) != std::string::npos) {
+    constexpr std::size_t max_attempt_digits = 9;
+    if (!digits || dot == std::string::npos || dot == 0 || dot > max_attempt_digits ||
+        last_event_id.size() - dot - 1 > max_attempt_digits * 2 ||
+        dot + 1 == last_event_id.size() || last_event_id.find('.', dot + 1) != std::string::npos) {
         return reader;
     }
     reader.attempt = static_cast<attempt_number>(std::stoul(last_event_id.substr(0, dot)));
@@ -46,15 +47,15 @@
 
 }  // namespace
 
-void owner_state::refuse_unserved(reply_token token) {
+void owner_state::refuse_not_owner(reply_token token) {
     base::error_details details{.step = "own", .peer = new_owner_.value(), .reason = "not_owner"};
-    details.retry_after = recovery_retry;
+    details.retry_after = not_owner_retry_after;
     reply_error(token, base::make_error(absl::StatusCode::kUnavailable,
                                         "this node does not serve the shard", details));
 }
 
 bool owner_state::refuse_without_quorum(reply_token token) {
-    if (quorum_) {
+    if (has_quorum_) {
         return false;
     }
     base::error_details details{.step = "append", .reason = "no_quorum"};
@@ -110,7 +111,7 @@
                           .number = {},
                           .reader = {.token = token, .stream = false}});
     } else if (request.return_budget) {
-        take_back(token, at, *request.return_budget);
+        handle_budget_return(token, at, *request.return_budget);
     } else if (request.explain) {
         explain(token, at, request.explain->number);
     } else {
@@ -178,7 +179,7 @@
 
 void owner_state::submit(reply_token token, program_context at,
                          const wire::submit_call_request& request) {
-    if (!is_whole(request.body)) {
+    if (!is_complete(request.body)) {
         reply_error(
             token, refusal(absl::StatusCode::kInvalidArgument,
                            "a call names one model with an output limit, or one tool", "bad_call"));
@@ -190,9 +191,9 @@
         number = keyed != nullptr ? keyed->number : at.program.next_call();
     }
     const call_state* known = at.program.find_call(number);
-    const bool key_elsewhere = keyed != nullptr && keyed->number != number;
-    const bool other_body = known != nullptr && known->body_hash != hash_of(request.body);
-    if (key_elsewhere || other_body) {
+    const bool key_of_other_call = keyed != nullptr && keyed->number != number;
+    const bool body_differs = known != nullptr && known->body_hash != hash_of(request.body);
+    if (key_of_other_call || body_differs) {
         reply_error(token,
                     refusal(absl::StatusCode::kAlreadyExists,
                             "the call number or key was used for another call", "call_conflict"));
@@ -216,7 +217,7 @@
         return;
     }
     if (number > at.program.next_call() && !options_.disabled.call_order) {
-        hold_early(token, at, request, number);
+        queue_early_call(token, at, request, number);
         return;
     }
     absl::Status admitted = admit(at, request);
@@ -225,7 +226,7 @@
         return;
     }
     accept(token, at, request, number);
-    release_early(at);
+    submit_early_calls(at);
 }
 
 absl::Status owner_state::admit(program_context at, const wire::submit_call_request& request) {
@@ -243,8 +244,9 @@
     return concurrency_.check_call(at.program, options_.retry_backoff);
 }
 
-void owner_state::hold_early(reply_token token, program_context at,
-                             const wire::submit_call_request& request, base::call_number number) {
+void owner_state::queue_early_call(reply_token token, program_context at,
+                                   const wire::submit_call_request& request,
+                                   base::call_number number) {
     const std::uint64_t ahead = number.value() - at.program.next_call().value();
     std::size_t held = 0;
     for (const auto& [held_number, calls] : at.runtime.early_calls) {
@@ -260,7 +262,7 @@
     wake_at(at.program.id, now_ + options_.gap_wait);
 }
 
-void owner_state::release_early(program_context at) {
+void owner_state::submit_early_calls(program_context at) {
     auto& early = at.runtime.early_calls;
     while (!early.empty() && early.begin()->first < at.program.next_call()) {
         const std::vector<early_call> calls = std::move(early.begin()->second);
@@ -308,7 +310,7 @@
                                       .priority_class = request.priority_class,
                                       .idempotency_key = request.idempotency_key};
     if (request.body.tool && configuration_ != nullptr) {
-        // A tool that nobody configured is not believed to be repeatable either.
+        // An unconfigured tool is never repeatable, whatever the caller claims.
         const config::tool_terms terms =
             config::terms_of(*configuration_, request.body.tool->tool)
                 .value_or(config::tool_terms{.repeatable = false,
@@ -328,8 +330,8 @@
         count_call(*call);
     }
     wake_at(at.program.id, now_ + deadline);
-    // Placement goes on while the record is being committed. What acts is the intent, which comes
-    // after this record in the journal and is committed only with it.
+    // Placement proceeds while the record is being committed. This is safe because an attempt
+    // starts only after its intent is committed, and the intent follows this record in the journal.
     advance(at);
 }
 
--- a/src/pearbarrow/program/owner_state.cc
+++ b/src/pearbarrow/program/owner_state.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// How long after its deadline a reader is held for a result that no majority confirms.
+/// Time after the deadline that a reader still waits for a majority to confirm the result.
 constexpr base::milliseconds commit_grace{1'000};
 constexpr std::uint32_t max_backoff_doublings = 16;
-constexpr std::int64_t jitter_parts = 4;
+constexpr std::int64_t jitter_divisor = 4;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 
 std::vector<shard_action> owner_state::apply(const shard_event& event, base::instant now) {
     now_ = now;
-    const bool serving = recovered_ && !lost_;
+    const bool serving = recovered_ && !ownership_lost_;
     const bool any_time = std::holds_alternative<event::request_received>(event) ||
                           std::holds_alternative<event::journal_recovered>(event) ||
                           std::holds_alternative<event::concurrency_limits_changed>(event) ||
@@ -56,24 +56,24 @@
 }
 
 bool owner_state::idle() const {
-    return waiting_.empty() && attempts_.empty();
+    return waiting_requesters_.empty() && attempts_.empty();
 }
 
 void owner_state::on(const event::request_received& event) {
-    waiting_.insert(event.token);
-    if (!recovered_ || lost_) {
-        refuse_unserved(event.token);
+    waiting_requesters_.insert(event.token);
+    if (!recovered_ || ownership_lost_) {
+        refuse_not_owner(event.token);
         return;
     }
     handle(event.token, event.request);
 }
 
 void owner_state::on(const event::requester_gone& event) {
-    waiting_.erase(event.token);
+    waiting_requesters_.erase(event.token);
 }
 
 void owner_state::on(const event::journal_availability& event) {
-    quorum_ = event.available;
+    has_quorum_ = event.available;
 }
 
 void owner_state::on(const event::concurrency_limits_changed& event) {
@@ -83,7 +83,7 @@
 void owner_state::on(const event::configuration_changed& event) {
     configuration_ = event.configuration;
     region_ = event.region;
-    count_again();
+    recount_quota_use();
     for (const base::program_id& id : live_programs()) {
         if (const auto at = find(id)) {
             check_limits(*at);
@@ -113,9 +113,9 @@
 }
 
 void owner_state::on(const event::ownership_lost& event) {
-    lost_ = true;
+    ownership_lost_ = true;
     new_owner_ = event.hint;
-    const std::set<reply_token> waiting = waiting_;
+    const std::set<reply_token> waiting = waiting_requesters_;
     for (const reply_token token : waiting) {
         reply_error(token, base::make_error(absl::StatusCode::kAborted,
                                             "another node took the program over",
@@ -192,28 +192,28 @@
     return {.known_at = leadership_known_at_, .trusted_for = options_.leadership_trust};
 }
 
-action::leadership owner_state::must_confirm() const {
+action::leadership owner_state::leadership_to_confirm() const {
     return {.known_at = leadership_known_at_, .trusted_for = base::microseconds(0)};
 }
 
 void owner_state::reply(reply_token token, wire::program_reply reply, bool confirm) {
-    if (waiting_.erase(token) == 0) {
+    if (waiting_requesters_.erase(token) == 0) {
         return;
     }
     action::reply_final final{.token = token, .reply = std::move(reply), .confirm = {}};
     if (confirm) {
-        final.confirm = must_confirm();
+        final.confirm = leadership_to_confirm();
     }
     emit(std::move(final));
 }
 
 void owner_state::reply_error(reply_token token, absl::Status status, bool confirm) {
-    if (waiting_.erase(token) == 0) {
+    if (waiting_requesters_.erase(token) == 0) {
         return;
     }
     action::reply_error error{.token = token, .status = std::move(status), .confirm = {}};
     if (confirm) {
-        error.confirm = must_confirm();
+        error.confirm = leadership_to_confirm();
     }
     emit(std::move(error));
 }
@@ -291,7 +291,7 @@
     const std::uint32_t doublings = std::min(tries, max_backoff_doublings);
     const base::microseconds whole = std::min<base::microseconds>(
         options_.retry_backoff * (1LL << doublings), options_.max_backoff);
-    const std::int64_t spread = std::max<std::int64_t>(whole.count() / jitter_parts, 1);
+    const std::int64_t spread = std::max<std::int64_t>(whole.count() / jitter_divisor, 1);
     const std::uint64_t hash = base::stable_hash(program.value(), tries);
     return whole + base::microseconds(hash % static_cast<std::uint64_t>(spread));
 }
@@ -317,7 +317,7 @@
             check_call(*call);
         }
     }
-    release_early(at);
+    submit_early_calls(at);
     if (at.runtime.history_retry && *at.runtime.history_retry <= now_) {
         request_history(at);
     }
@@ -361,7 +361,7 @@
         at.active.stage == call_stage::finishing ||
         (at.active.stage == call_stage::intended && at.active.stop_status);
     if (waits_for_commit) {
-        give_up_on_commit(at);
+        fail_uncommitted_readers(at);
         return;
     }
     if (!at.active.stop_status) {
@@ -370,7 +370,7 @@
     }
 }
 
-void owner_state::give_up_on_commit(call_context at) {
+void owner_state::fail_uncommitted_readers(call_context at) {
     if (now_ < at.active.deadline + commit_grace) {
         wake_at(at.program.id, at.active.deadline + commit_grace);
         return;
--- a/src/pearbarrow/program/owner_tools.cc
+++ b/src/pearbarrow/program/owner_tools.cc
@@ -6,8 +6,9 @@
 namespace pearbarrow::program {
 namespace {
 
-/// When a caller may ask again, under the next number, after the tool service was out of reach.
-constexpr base::milliseconds ask_again_after{1'000};
+/// Delay after which a caller may submit the call again, under the next number, when the tool
+/// service was unreachable.
+constexpr base::milliseconds resubmit_delay{1'000};
 
 }  // namespace
 
@@ -16,7 +17,7 @@
     const bool awaited =
         at && (at->active.stage == call_stage::running || at->active.stage == call_stage::querying);
     if (awaited) {
-        tool_ran(*at, event.output);
+        finish_tool_call(*at, event.output);
     }
 }
 
@@ -29,13 +30,13 @@
     }
     const base::executed ran = base::details_of(event.status).was_executed;
     if (ran == base::executed::unknown) {
-        tool_in_doubt(*at);
+        handle_tool_in_doubt(*at);
         return;
     }
     const std::uint64_t cost = ran == base::executed::yes ? at->call.body->tool->declared_cost : 0;
-    const bool again = ran == base::executed::no && at->call.body->tool->repeatable &&
-                       event.status.code() != absl::StatusCode::kInvalidArgument;
-    if (again) {
+    const bool may_retry = ran == base::executed::no && at->call.body->tool->repeatable &&
+                           event.status.code() != absl::StatusCode::kInvalidArgument;
+    if (may_retry) {
         retry(*at, event.status, cost);
         return;
     }
@@ -45,11 +46,11 @@
 void owner_state::on(const event::tool_lost& event) {
     const auto at = find(event.attempt);
     if (at && at->active.stage == call_stage::running) {
-        tool_in_doubt(*at);
+        handle_tool_in_doubt(*at);
     }
 }
 
-void owner_state::tool_in_doubt(call_context at) {
+void owner_state::handle_tool_in_doubt(call_context at) {
     if (options_.disabled.in_doubt_query) {
         start_tool(at);
         return;
@@ -81,7 +82,7 @@
         return;
     }
     if (event.state == event::tool_state::ran && event.error.ok()) {
-        tool_ran(*at, event.output);
+        finish_tool_call(*at, event.output);
     } else if (event.state == event::tool_state::ran) {
         base::error_details details = base::details_of(event.error);
         details.was_executed = base::executed::yes;
@@ -93,13 +94,13 @@
                                {.step = "invoke", .reason = "answer_lost"}),
               std::nullopt);
     } else if (event.state == event::tool_state::never_seen_and_fenced) {
-        tool_never_ran(*at);
+        fail_not_delivered(*at);
     } else {
-        tool_cannot_tell(*at);
+        fail_outcome_unknown(*at);
     }
 }
 
-void owner_state::tool_ran(call_context at, const std::string& output) {
+void owner_state::finish_tool_call(call_context at, const std::string& output) {
     const std::uint64_t cost = at.call.body->tool->declared_cost;
     if (output.size() > options_.max_output_bytes) {
         fail(
@@ -120,7 +121,7 @@
     finish(at, std::move(result));
 }
 
-void owner_state::tool_cannot_tell(call_context at) {
+void owner_state::fail_outcome_unknown(call_context at) {
     fail(at,
          base::make_error(absl::StatusCode::kUnknown,
                           "the tool's answer was lost, and it can't tell whether the call ran",
@@ -131,7 +132,7 @@
          std::nullopt);
 }
 
-void owner_state::tool_never_ran(call_context at) {
+void owner_state::fail_not_delivered(call_context at) {
     fail(at,
          base::make_error(absl::StatusCode::kUnavailable,
                           "the call never reached the tool, which refuses it from now on",
@@ -139,7 +140,7 @@
                            .peer = at.call.attempt->backend.value(),
                            .reason = "not_delivered",
                            .was_executed = base::executed::no,
-                           .retry_after = ask_again_after}),
+                           .retry_after = resubmit_delay}),
          0);
 }
 
--- a/src/pearbarrow/program/owner_transfers.cc
+++ b/src/pearbarrow/program/owner_transfers.cc
@@ -1,8 +1,9 @@
-// Budgets handed between a program and its sub-programs.
+// Budget transfers between a program and its sub-programs.
 //
-// Parent: transfer_out is committed before the child's owner hears of it; the message is repeated
-// until that one answers. Child: opened once by its id; when it has ended, the rest is offered to
-// the parent until the parent's answer says that it is journaled there.
+// Parent: the transfer_out record is committed before the request to open the child is sent, and
+// the request is repeated until the child's owner replies. Child: it is opened once by its id.
+// After it has ended, it sends its remaining budget to the parent until the parent's reply confirms
+// that the return is in the parent's journal.
 #include <algorithm>
 #include <utility>
 
@@ -12,8 +13,8 @@
 
 namespace {
 
-/// Whether repeating the message to the other owner may help.
-bool may_be_repeated(const absl::Status& status) {
+/// Returns whether a retry of the request to the other owner may succeed.
+bool is_retryable(const absl::Status& status) {
     switch (status.code()) {
         case absl::StatusCode::kUnavailable:
         case absl::StatusCode::kDeadlineExceeded:
@@ -89,7 +90,8 @@
     repeated_send& transfer = at.runtime.transfers[child];
     exchanges_.erase(transfer.exchange);
     if (state->second.returned) {
-        // The child may be forgotten at its owner, which would open it anew with a whole budget.
+        // The owner of the child may have forgotten it and would open it again with its full
+        // budget.
         for (const reply_token token : transfer.waiting) {
             reply_error(token, refusal(absl::StatusCode::kFailedPrecondition,
                                        "the sub-program has ended", "program_ended"));
@@ -134,20 +136,20 @@
         return;
     }
     if (child) {
-        child_answered(*at, *child, event.reply);
+        on_child_reply(*at, *child, event.reply);
         return;
     }
-    return_answered(*at, event.reply);
+    on_budget_return_reply(*at, event.reply);
 }
 
-void owner_state::child_answered(program_context at, const base::program_id& child,
+void owner_state::on_child_reply(program_context at, const base::program_id& child,
                                  const absl::StatusOr<wire::program_reply>& reply) {
     const auto found = at.runtime.transfers.find(child);
     child_state& state = at.program.children[child];
     if (found == at.runtime.transfers.end()) {
         return;
     }
-    if (!reply.ok() && may_be_repeated(reply.status())) {
+    if (!reply.ok() && is_retryable(reply.status())) {
         found->second.next_try = now_ + backoff(found->second.tries, at.program.id);
         ++found->second.tries;
         wake_at(at.program.id, found->second.next_try);
@@ -156,8 +158,8 @@
     const std::vector<reply_token> waiting = found->second.waiting;
     at.runtime.transfers.erase(found);
     program_record record;
-    const bool refused_for_good = !reply.ok() && !state.confirmed && !state.returned;
-    if (refused_for_good) {
+    const bool permanently_refused = !reply.ok() && !state.confirmed && !state.returned;
+    if (permanently_refused) {
         record.transfer_returned =
             transfer_returned_record{.child = child, .tokens = state.open.token_budget};
         append(at.program, std::move(record));
@@ -202,8 +204,8 @@
     reply_view(token, request.program);
 }
 
-void owner_state::take_back(reply_token token, program_context at,
-                            const wire::return_budget_request& request) {
+void owner_state::handle_budget_return(reply_token token, program_context at,
+                                       const wire::return_budget_request& request) {
     const auto child = at.program.children.find(request.child);
     if (child == at.program.children.end()) {
         reply_error(token,
@@ -261,19 +263,19 @@
     });
 }
 
-void owner_state::return_answered(program_context at,
-                                  const absl::StatusOr<wire::program_reply>& reply) {
+void owner_state::on_budget_return_reply(program_context at,
+                                         const absl::StatusOr<wire::program_reply>& reply) {
     if (!at.runtime.budget_return || at.program.budget_returned) {
         return;
     }
-    if (!reply.ok() && may_be_repeated(reply.status())) {
+    if (!reply.ok() && is_retryable(reply.status())) {
         repeated_send& send = *at.runtime.budget_return;
         send.next_try = now_ + backoff(send.tries, at.program.id);
         ++send.tries;
         wake_at(at.program.id, send.next_try);
         return;
     }
-    // Any other refusal means that the parent is forgotten: there is nobody to give it back to.
+    // Any other error means that the parent is forgotten, so the budget cannot be returned.
     program_record record;
     record.budget_returned = budget_returned_record{};
     append(at.program, std::move(record));
--- a/src/pearbarrow/program/prefix_chain.cc
+++ b/src/pearbarrow/program/prefix_chain.cc
@@ -13,7 +13,7 @@
     hash_ = base::stable_hash(message.role, hash_);
     hash_ = base::stable_hash(message.content, hash_);
     tokens_ += message_tokens(message);
-    if (first_.size() < kept_marks) {
+    if (first_.size() < max_marks) {
         first_.push_back(end());
     }
 }
@@ -24,7 +24,7 @@
         return;
     }
     ends_.push_back(end());
-    if (ends_.size() > kept_marks) {
+    if (ends_.size() > max_marks) {
         ends_.erase(ends_.begin());
     }
 }
--- a/src/pearbarrow/program/program_state.cc
+++ b/src/pearbarrow/program/program_state.cc
@@ -63,7 +63,7 @@
     return tokens;
 }
 
-std::uint64_t most_cost(const wire::call_body& body, std::uint64_t history_tokens) {
+std::uint64_t max_cost(const wire::call_body& body, std::uint64_t history_tokens) {
     if (body.tool) {
         return body.tool->declared_cost;
     }
@@ -107,7 +107,7 @@
     call.body_hash = hash_of(accepted.body);
     call.idempotency_key = accepted.idempotency_key;
     call.body = accepted.body;
-    // The hash stays that of the body that came: a repeat of the call carries the caller's claims.
+    // The hash is that of the original body, because a repeated call carries the caller's claims.
     if (call.body->tool && accepted.tool_terms) {
         call.body->tool->repeatable = accepted.tool_terms->repeatable;
         call.body->tool->declared_cost = accepted.tool_terms->cost;
@@ -194,7 +194,7 @@
         return inconsistent(record, "budget returned by an unknown child");
     }
     child->second.returned = true;
-    program.budget.take_back(returned.tokens);
+    program.budget.transfer_back(returned.tokens);
     return absl::OkStatus();
 }
 
--- a/src/pearbarrow/program/program_state.h
+++ b/src/pearbarrow/program/program_state.h
@@ -1,4 +1,4 @@
-/// The durable state of a shard's programs: what applying the journal's records in order gives.
+/// The durable state of a shard's programs: the result of applying the journal's records in order.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 namespace pearbarrow::program {
 
-/// An attempt whose intent is journaled and whose end is not.
+/// An attempt whose intent is in the journal and whose end is not.
 struct attempt_state {
     attempt_number number = 0;
     base::backend_id backend;
@@ -58,7 +58,7 @@
     bool succeeded() const { return done() && !failed.has_value(); }
 };
 
-/// Budget handed to a sub-program.
+/// A sub-program and the budget transferred to it.
 struct child_state {
     wire::open_program_request open;
     bool confirmed = false;
@@ -96,21 +96,21 @@
     bool has_unsettled_transfer() const;
 };
 
-/// Programs in the order of their ids, so that every walk over them is deterministic.
+/// Programs ordered by id, so that iteration is deterministic.
 using program_map = std::map<base::program_id, program_state>;
 
-/// Hash under which two call bodies are the same call.
+/// Returns a hash that identifies equal call bodies.
 std::uint64_t hash_of(const wire::call_body& body);
-/// The most that one attempt at `body` can cost after a history of `history_tokens`.
-std::uint64_t most_cost(const wire::call_body& body, std::uint64_t history_tokens);
-/// Upper bound of the prompt's tokens; 0 for a tool call.
+/// Returns the maximum cost of one attempt at `body` after a history of `history_tokens`.
+std::uint64_t max_cost(const wire::call_body& body, std::uint64_t history_tokens);
+/// Returns an upper bound of the prompt's tokens; 0 for a tool call.
 std::uint64_t prompt_tokens(const wire::call_body& body, std::uint64_t history_tokens);
-/// What the call adds to its program's history once it succeeded with `output`.
+/// Returns the messages that a call with the result `output` adds to its program's history.
 std::vector<wire::chat_message> turn_messages(const wire::call_body& body,
                                               const std::string& output);
 
-/// Applies one record. Fails with kDataLoss, reason `inconsistent_record`, when it does not fit the
-/// state: the journal must then not be served.
+/// Applies one record. Fails with kDataLoss, reason `inconsistent_record`, when the record does not
+/// match the state. The shard must not be served in that case.
 absl::Status apply_record(program_map& programs, const program_record& record);
 
 }  // namespace pearbarrow::program
--- a/src/pearbarrow/program/records.h
+++ b/src/pearbarrow/program/records.h
@@ -1,7 +1,7 @@
 /// Records that a program owner writes to its shard's journal before it acts.
 ///
-/// The state of a shard's programs is the result of applying its records in order, at the owner
-/// that wrote them and at every later one.
+/// The state of a shard's programs is the result of applying its records in order, both at
+/// the owner that wrote them and at every later owner.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 /// starts only after its intent record is committed.
 using attempt_number = std::uint32_t;
 
-/// A failure as it is journaled, so that a late reader gets the same error.
+/// A failure as stored in the journal, so that a late reader receives the same error.
 struct failure {
     int code = 0;
     std::string message;
@@ -30,7 +30,7 @@
     std::string peer;
     std::string reason;
     std::uint8_t executed_code = 0;
-    /// When a new call may usefully be made; 0: that cannot help.
+    /// Delay after which a new call may succeed. 0 means that a retry does not help.
     std::uint64_t retry_after_ms = 0;
     bool operator==(const failure&) const = default;
     MSGPACK_DEFINE(code, message, step, peer, reason, executed_code, retry_after_ms);
@@ -45,15 +45,15 @@
     MSGPACK_DEFINE(tenant, request);
 };
 
-/// What the configuration said of a call's tool when the call was accepted. It stands above what
-/// the caller claimed, also at a later owner.
+/// The configured terms of a call's tool at the time when the call was accepted. They override the
+/// caller's claims, also at a later owner.
 struct tool_terms_record {
     bool repeatable = false;
     std::uint64_t cost = 0;
     MSGPACK_DEFINE(repeatable, cost);
 };
 
-/// The call will run when its turn comes. Written under the call's retention key.
+/// The call is accepted and runs after the calls before it. Written under the call's retention key.
 struct accepted_record {
     base::call_number number;
     wire::call_body body;
@@ -74,8 +74,8 @@
     MSGPACK_DEFINE(number, attempt, backend, reserved_tokens, decision);
 };
 
-/// An attempt is over and its call goes on with another. Without `spent_tokens` the cost is in
-/// doubt and its reservation is kept for good.
+/// An attempt has ended and its call continues with another one. Without `spent_tokens` the cost is
+/// unknown and the reservation is permanent.
 struct attempt_closed_record {
     base::call_number number;
     attempt_number attempt = 0;
@@ -83,7 +83,7 @@
     MSGPACK_DEFINE(number, attempt, spent_tokens);
 };
 
-/// The final answer of a call. Written under the call's retention key.
+/// The final result of a call. Written under the call's retention key.
 struct result_record {
     base::call_number number;
     attempt_number attempt = 0;
@@ -94,7 +94,7 @@
     std::string decision;
     /// Set when the call failed or was refused.
     std::optional<failure> failed;
-    /// Cost of the last attempt; none: in doubt, its reservation is kept.
+    /// Cost of the last attempt. If it is unset, the cost is unknown and the reservation is kept.
     std::optional<std::uint64_t> spent_tokens;
     MSGPACK_DEFINE(number, attempt, output, usage, finish_reason, backend, decision, failed,
                    spent_tokens);
@@ -105,19 +105,20 @@
     MSGPACK_DEFINE(reason);
 };
 
-/// Every engine confirmed that it keeps nothing of the program.
+/// Every engine confirmed that it holds no cache for the program.
 struct released_record {
     std::uint8_t reserved = 0;
     MSGPACK_DEFINE(reserved);
 };
 
-/// The ended program is dropped; its id is free of state from here on.
+/// The state of the ended program is removed. No state exists for its id after this record.
 struct forgotten_record {
     std::uint8_t reserved = 0;
     MSGPACK_DEFINE(reserved);
 };
 
-/// Parent: `tokens` are taken for the child. The child's id is the id of the transfer.
+/// Parent: the budget in `open` is transferred to the child. The child's id identifies the
+/// transfer.
 struct transfer_out_record {
     base::program_id child;
     wire::open_program_request open;
@@ -130,14 +131,14 @@
     MSGPACK_DEFINE(child);
 };
 
-/// Parent: the child gave back what it did not spend, or was never opened.
+/// Parent: the child returned its unspent tokens, or was never opened.
 struct transfer_returned_record {
     base::program_id child;
     std::uint64_t tokens = 0;
     MSGPACK_DEFINE(child, tokens);
 };
 
-/// Child: the parent confirmed that it has the rest of the budget again.
+/// Child: the parent confirmed the return of the remaining budget.
 struct budget_returned_record {
     std::uint8_t reserved = 0;
     MSGPACK_DEFINE(reserved);
@@ -146,7 +147,7 @@
 /// One entry of the journal. Exactly one of the optional parts is set.
 struct program_record {
     base::program_id program;
-    /// Time since the program was opened, so that a later owner keeps its run time limit.
+    /// Time since the program was opened, so that a later owner enforces its run time limit.
     std::uint64_t age_ms = 0;
     std::optional<opened_record> opened;
     std::optional<accepted_record> accepted;
@@ -165,13 +166,13 @@
                    budget_returned);
 };
 
-/// Fails with reason `malformed_message`, or `unknown_record` when no part that this version knows
-/// is set.
+/// Decodes a record. Fails with reason `malformed_message`, or with `unknown_record` when no part
+/// that this version knows is set.
 absl::StatusOr<program_record> decode_record(std::string_view payload);
 
-/// Prefix of the retention keys of all of a program's records: `<program id>/`.
+/// Returns the prefix of the retention keys of all records of a program: `<program id>/`.
 std::string retention_prefix(const base::program_id& program);
-/// Key under which the journal keeps a call's body and result readable after truncation:
+/// Returns the key under which a call's body and result stay readable after journal truncation:
 /// `<program id>/<call number, 10 digits>`. Records without bulk data have no key.
 std::string retention_key(const base::program_id& program, base::call_number number);
 std::string retention_key(const program_record& record);
--- a/src/pearbarrow/program/recovery.cc
+++ b/src/pearbarrow/program/recovery.cc
@@ -1,4 +1,4 @@
-// The first event of a term: what an earlier owner left unfinished.
+// Recovery of the programs and calls that an earlier owner left unfinished.
 #include <utility>
 
 #include "pearbarrow/program/owner_state.h"
@@ -7,7 +7,7 @@
 namespace pearbarrow::program {
 
 void owner_state::on(const event::journal_recovered& event) {
-    if (recovered_ || lost_) {
+    if (recovered_ || ownership_lost_) {
         return;
     }
     auto restored = restore(event.snapshot, event.payloads);
@@ -88,7 +88,7 @@
         resume_model(at);
         return;
     }
-    tool_in_doubt(at);
+    handle_tool_in_doubt(at);
 }
 
 }  // namespace pearbarrow::program
--- a/src/pearbarrow/program/runtime.h
+++ b/src/pearbarrow/program/runtime.h
@@ -1,5 +1,5 @@
-/// What an owner knows about programs beside their durable state: waits, readers, text so far.
-/// All of it is lost with the owner, and nothing that must hold rests on it.
+/// In-memory state of programs in addition to their durable state: timers, readers, partial text.
+/// It is lost with the owner, so no guarantee may depend on it.
 #pragma once
 
 #include <cstdint>
@@ -18,43 +18,43 @@
 
 namespace pearbarrow::program {
 
-/// A requester that waits for a call's answer, and how much of it that one has.
+/// A requester that waits for a call's result, and its position in the streamed text.
 struct call_reader {
     reply_token token;
     bool stream = false;
-    /// Attempt and bytes of its text that were delivered; attempt 0: none.
+    /// The attempt whose text was delivered, and the delivered bytes. Attempt 0 means none.
     attempt_number attempt = 0;
     std::uint64_t offset = 0;
 };
 
 enum class call_stage {
-    /// Waits for lower numbers, or to be offered to placement.
+    /// The call waits for lower numbers or for its offer to placement.
     queued,
-    /// Waits for the history to be read from the journal.
+    /// The call waits until the history is read from the journal.
     reading_history,
-    /// Offered to placement.
+    /// The call is offered to placement.
     offered,
     /// The intent is appended but not committed, or the history must be read again before the send.
     intended,
-    /// The back end has, or may have, the attempt.
+    /// The back end has received the attempt or may have received it.
     running,
-    /// The tool is asked what became of the attempt.
+    /// The status of the attempt is being queried at the tool.
     querying,
-    /// The engine is told to stop.
+    /// A cancellation was sent to the engine.
     cancelling,
-    /// Waits before another attempt.
+    /// The call waits before its next attempt.
     backing_off,
     /// The result is appended but not committed.
     finishing,
 };
 
-/// An unfinished call.
+/// Runtime state of an unfinished call.
 struct call_runtime {
     call_stage stage = call_stage::queued;
     base::instant accepted_at{};
     base::instant deadline{};
     base::instant stage_since{};
-    /// When to repeat a query, a resume or a cancel, or to start the next attempt.
+    /// Time of the next query, resume, cancellation or attempt.
     std::optional<base::instant> next_try;
     std::uint32_t tries = 0;
 
@@ -64,28 +64,28 @@
     std::int32_t engine_priority = 0;
     base::milliseconds pin_lease{0};
 
-    /// The attempt was started by this owner, which so knows that an engine's "never taken" is
-    /// true.
+    /// This owner started the attempt. Only then does a refusal from the engine prove that the
+    /// attempt was never executed.
     bool started_here = false;
     bool intent_committed = false;
     std::string text;
     std::uint64_t last_index = 0;
     std::vector<call_reader> readers;
-    /// Counted against the limits on tokens in flight.
+    /// Tokens of the call that count against the limits on in-flight tokens.
     std::uint64_t counted_tokens = 0;
-    /// The answer to give once the attempt has stopped; none while it is wanted.
+    /// The error to return once the attempt has stopped. Unset unless the call is being stopped.
     std::optional<absl::Status> stop_status;
     result_record result;
 };
 
-/// A call whose predecessors have not come yet.
+/// A call that arrived before calls with lower numbers.
 struct early_call {
     reply_token token;
     wire::submit_call_request request;
     base::instant since{};
 };
 
-/// A message or order that is repeated until it is confirmed.
+/// A request that is repeated until it is confirmed.
 struct repeated_send {
     base::instant next_try{};
     std::uint32_t tries = 0;
@@ -105,10 +105,11 @@
 struct program_runtime {
     base::instant opened_at{};
     base::instant last_used{};
-    /// The next look at the idle limit: one at a time, however many calls come.
+    /// Time of the next check of the idle limit. Only one check is scheduled, regardless of the
+    /// number of calls.
     std::optional<base::instant> idle_wake;
     std::optional<base::instant> ended_at;
-    /// Objects whose limits the program counts against.
+    /// Objects whose limits apply to the program.
     std::vector<config::object_key> limited_by;
     std::map<base::call_number, call_runtime> calls;
     std::map<base::call_number, std::vector<early_call>> early_calls;
@@ -124,7 +125,7 @@
     bool forget_appended = false;
     std::vector<reply_token> end_waiters;
     std::map<base::backend_id, repeated_send> releases;
-    /// Attempts that an engine did not confirm to have stopped.
+    /// Attempts whose stop the engine has not confirmed.
     std::map<base::attempt_id, base::backend_id> unconfirmed_stops;
     std::map<base::program_id, repeated_send> transfers;
     std::optional<repeated_send> budget_return;
--- a/src/pearbarrow/program/shard_actions.h
+++ b/src/pearbarrow/program/shard_actions.h
@@ -1,4 +1,4 @@
-/// What a `shard_owner` asks its shell to do. Actions are carried out in their order.
+/// Actions that a `shard_owner` returns to its shell. The shell executes them in order.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,17 @@
 
 namespace pearbarrow::program::action {
 
-/// When the majority last vouched for this owner, and how long that may be trusted. If more than
-/// `trusted_for` has passed since `known_at` when the shell is about to act, it must first have the
-/// journal confirm the leadership (a round to a majority), and drop the action when that fails.
+/// The last time at which a majority confirmed this owner, and how long that confirmation is valid.
+/// If more than `trusted_for` has passed since `known_at` when the shell is about to act, the
+/// journal must first confirm the leadership by a round to a majority. The shell drops the action
+/// if that fails.
 struct leadership {
     base::instant known_at{};
     base::microseconds trusted_for{0};
 };
 
-/// Append to the journal; `event::records_committed` answers. `retention_key` may be empty.
+/// Appends a record to the journal. `event::records_committed` reports the commit. `retention_key`
+/// may be empty.
 struct append_record {
     append_sequence sequence = 0;
     std::string payload;
@@ -33,9 +35,10 @@
     wire::reply_part part;
 };
 
-/// Sent only after every record that it rests on is committed. With `confirm` set the reply rests
-/// on this owner being the newest one (such as "not found", or a history): the confirmation must be
-/// asked for after the request came, so `trusted_for` is zero.
+/// The final reply to a requester, sent only after every record that it depends on is committed.
+/// With `confirm` set the reply is valid only if this owner is the newest one (such as "not found",
+/// or a history). The confirmation must then be requested after the request arrived, so
+/// `trusted_for` is zero.
 struct reply_final {
     reply_token token;
     wire::program_reply reply;
@@ -48,16 +51,16 @@
     std::optional<leadership> confirm;
 };
 
-/// What placement needs to know of a call.
+/// Properties of a call that placement uses.
 struct call_description {
-    /// The attempt that a grant will start: unique for each attempt that is ever sent.
+    /// The attempt that a grant starts. It is unique among all attempts that are ever sent.
     base::attempt_id attempt;
     base::program_id program;
     base::tenant_id tenant;
     std::string program_class;
     std::vector<wire::label> labels;
     base::call_number number;
-    /// Exactly one of both is set.
+    /// Exactly one of `model` and `tool` is set.
     std::optional<base::model_name> model;
     std::optional<base::tool_name> tool;
     std::string priority_class;
@@ -66,8 +69,8 @@
     std::uint64_t max_output_tokens = 0;
     /// Engine of the program's last model call, which may hold its prefix; empty if none.
     base::backend_id last_engine;
-    /// Marks of the prompt in ascending order of tokens: its first messages, then the history as
-    /// it stood after earlier calls.
+    /// Marks of the prompt in ascending order of tokens: its first messages, then the history
+    /// after earlier calls.
     std::vector<wire::prefix_mark> prefixes;
     /// Tokens that the program has been served so far, and time since it was opened.
     std::uint64_t attained_tokens = 0;
@@ -77,7 +80,7 @@
     bool sub_program = false;
     /// Back ends on which earlier attempts at this call failed.
     std::vector<base::backend_id> avoid;
-    /// Time left until the caller wants no answer any more.
+    /// Time until the call's deadline.
     base::milliseconds time_left{0};
 };
 
@@ -90,7 +93,7 @@
     offer_id offer;
 };
 
-/// The granted attempt is over: its place on the back end is free.
+/// The granted attempt has ended and its capacity on the back end is free.
 struct finish_placement {
     offer_id offer;
     base::attempt_id attempt;
@@ -98,20 +101,20 @@
     base::backend_id backend;
     wire::attempt_outcome outcome = wire::attempt_outcome::completed;
     std::optional<wire::token_usage> usage;
-    /// Mark of the history including this call's answer.
+    /// Mark of the history including this call's output.
     wire::prefix_mark history;
-    /// Tool of the program's next call, when that is queued already; empty otherwise.
+    /// Tool of the program's next call if that call is already queued; empty otherwise.
     base::tool_name next_tool;
 };
 
-/// The program has ended: placement may forget its prefixes.
+/// The program has ended and placement may drop its prefixes.
 struct announce_program_end {
     base::program_id program;
     /// Engines that its calls ran on.
     std::vector<base::backend_id> engines;
 };
 
-/// After a take-over: an attempt that an earlier owner started occupies the back end.
+/// After a take-over: registers an attempt of an earlier owner that occupies the back end.
 struct register_in_flight {
     offer_id offer;
     base::backend_id backend;
@@ -129,25 +132,27 @@
     std::uint64_t max_output_tokens = 0;
     std::string parameters_json;
     std::string priority_class;
-    /// As granted by placement.
+    /// Value from the grant of placement.
     std::int32_t engine_priority = 0;
     base::milliseconds pin_lease{0};
     base::milliseconds time_left{0};
     base::call_number call;
     leadership confirm;
-    /// A start that is held up beyond this, by the confirmation, is answered by `start_expired`.
+    /// If the confirmation delays the start beyond this time, the shell reports `start_expired`.
     base::instant start_by;
 };
 
-/// Stream the attempt again from token `from_index` (the first is 1); answered like a start.
+/// Streams the attempt again from token `from_index` (the first is 1). The events are those of a
+/// start.
 struct resume_model_attempt {
     base::attempt_id attempt;
     base::backend_id engine;
     std::uint64_t from_index = 1;
 };
 
-/// Answered by `model_finished` (finish reason `cancelled`, with the usage), by `model_failed` (the
-/// attempt had ended before, or is not known), or by `model_lost` when the engine can't be asked.
+/// Cancels an attempt. The outcome is reported by `model_finished` (finish reason `cancelled`, with
+/// the usage), by `model_failed` (the attempt had ended before, or is not known), or by
+/// `model_lost` when the engine cannot be reached.
 struct cancel_model_attempt {
     base::attempt_id attempt;
     base::backend_id engine;
@@ -165,18 +170,18 @@
     base::milliseconds time_left{0};
     base::call_number call;
     leadership confirm;
-    /// As of a model attempt.
+    /// Same as `start_model_attempt::start_by`.
     base::instant start_by;
 };
 
-/// Nobody waits for the tool's answer any more.
+/// Cancels a tool attempt whose result is no longer needed.
 struct cancel_tool_attempt {
     base::attempt_id attempt;
     base::backend_id backend;
 };
 
-/// Ask what became of the call, and to refuse its key from now on if it was never seen (where the
-/// tool can do that). Answered by `event::tool_status`.
+/// Queries the status of the call. A tool that supports fencing refuses the key from now on if it
+/// has never seen it. The result is `event::tool_status`.
 struct query_tool_attempt {
     base::attempt_id attempt;
     base::backend_id backend;
@@ -184,28 +189,28 @@
     std::string idempotency_key;
 };
 
-/// Free all memory held for the ended program; repeated with backoff until
+/// Frees the cache memory of the ended program. Repeated with backoff until
 /// `event::cache_released`.
 struct release_cache {
     base::program_id program;
     base::backend_id backend;
 };
 
-/// Send to the owner of `routing_program(request)`'s shard; answered by `event::owner_answered`
-/// with the same `exchange`.
+/// Sends a request to the owner of the shard of `routing_program(request)`. The reply arrives as
+/// `event::owner_answered` with the same `exchange`.
 struct send_to_owner {
     std::uint64_t exchange = 0;
     wire::program_request request;
     leadership confirm;
 };
 
-/// Answered by `event::retained_read`.
+/// Reads retained records. The result is `event::retained_read`.
 struct read_retained {
     base::program_id program;
     std::string key_prefix;
 };
 
-/// The program is forgotten: its retained records are garbage.
+/// Drops the retained records of a forgotten program.
 struct drop_retained {
     std::string key_prefix;
 };
@@ -217,7 +222,7 @@
     std::string payload;
 };
 
-/// The journal holds records that this version cannot apply: the shard must not be served.
+/// The journal contains records that this version cannot apply, so the shard must not be served.
 struct journal_unusable {
     absl::Status status;
 };
--- a/src/pearbarrow/program/shard_events.h
+++ b/src/pearbarrow/program/shard_events.h
@@ -1,4 +1,4 @@
-/// What a shell tells a `shard_owner`.
+/// Events that a shell passes to a `shard_owner`.
 #pragma once
 
 #include <cstdint>
@@ -17,23 +17,23 @@
 
 namespace pearbarrow::program {
 
-/// Names one waiting requester; chosen by the shell, never used twice by one owner.
+/// Identifies one waiting requester. The shell assigns it and never reuses it for one owner.
 using reply_token = base::strong_id<struct reply_token_tag, std::uint64_t>;
-/// Names one offer to placement; chosen by the owner, unique only within its term.
+/// Identifies one offer to placement. The owner assigns it; it is unique only within its term.
 using offer_id = base::strong_id<struct offer_tag, std::uint64_t>;
 /// Number of an appended record within this owner's term; the first is 1.
 using append_sequence = std::uint64_t;
 
 namespace event {
 
-/// A request from a gateway or another owner. Answered by exactly one `reply_final` or
-/// `reply_error`, after any number of `reply_part`s.
+/// A request from a gateway or another owner. It gets any number of `reply_part`s and then exactly
+/// one `reply_final` or `reply_error`.
 struct request_received {
     reply_token token;
     wire::program_request request;
 };
 
-/// The requester went away: nothing more need be sent to it. Its call goes on.
+/// The requester disconnected and needs no further replies. Its call continues.
 struct requester_gone {
     reply_token token;
 };
@@ -46,19 +46,20 @@
     std::vector<std::string> payloads;
 };
 
-/// All records with a sequence up to this one are on a majority under this owner's ballot.
+/// All records up to this sequence are stored on a majority under this owner's ballot.
 struct records_committed {
     append_sequence through = 0;
 };
 
-/// No majority of the replicas answers (or again does): new requests are refused with `no_quorum`.
+/// Reports whether a majority of the replicas is reachable. While it is not, new requests are
+/// refused with `no_quorum`.
 struct journal_availability {
     bool available = true;
 };
 
 /// A higher ballot fenced this owner, or it hands the shard over. Each waiting requester gets
-/// `owner_lost` (executed unknown; repeating a numbered request elsewhere is safe); the object
-/// answers only `not_owner` (executed no) from here on.
+/// `owner_lost` (executed unknown; a retry of a numbered request elsewhere is safe). From then on
+/// the owner replies to every request with `not_owner` (executed no).
 struct ownership_lost {
     /// The new owner, if known; shown as the peer of the error.
     base::node_id hint;
@@ -70,33 +71,34 @@
     base::backend_id backend;
     /// The encoded decision record.
     std::string decision;
-    /// Passed on to the engine.
+    /// Forwarded to the engine.
     std::int32_t engine_priority = 0;
     base::milliseconds pin_lease{0};
 };
 
-/// Placement refuses for good: the call gets this status as its final answer.
+/// Placement refuses the call permanently, and the call fails with this status.
 struct placement_refused {
     offer_id offer;
     absl::Status status;
     std::string decision;
 };
 
-/// The dispatcher was lost before it answered: the call is offered again.
+/// The dispatcher was lost before it replied. The call is offered again.
 struct placement_lost {
     offer_id offer;
 };
 
-/// Text of an attempt. Parts of one attempt come in order without gaps; repeats are ignored.
+/// Text of an attempt. Parts of one attempt arrive in order without gaps; repeated parts are
+/// ignored.
 struct model_part {
     base::attempt_id attempt;
-    /// Index of the last token in `text`; the answer's first token has index 1.
+    /// Index of the last token in `text`; the first token of the output has index 1.
     std::uint64_t index = 0;
     std::string text;
 };
 
-/// The engine ended the attempt's stream. When `usage` names more generated tokens than parts
-/// arrived, the owner resumes the stream behind the last one.
+/// The engine ended the attempt's stream. When `usage` reports more generated tokens than
+/// arrived, the owner resumes the stream after the last one.
 struct model_finished {
     base::attempt_id attempt;
     wire::token_usage usage;
@@ -104,23 +106,24 @@
     std::string finish_reason;
 };
 
-/// The engine says that the attempt is over without a whole answer, or that it does not know it
-/// (reason `stream_unknown`). `usage` only when the engine states what the attempt cost: leave it
-/// out when the engine does not know the attempt, since it may have lost its memory.
+/// The engine reports that the attempt ended without a complete output, or that the attempt is
+/// unknown (reason `stream_unknown`). `usage` is set only when the engine reports the cost of the
+/// attempt. It is unset for an unknown attempt, since the engine may have lost its state.
 struct model_failed {
     base::attempt_id attempt;
     absl::Status status;
     std::optional<wire::token_usage> usage;
 };
 
-/// The connection broke or the engine could not be reached: what became of the attempt is not
-/// known. Also the answer to a start that the shell did not send for lack of leadership.
+/// The connection broke or the engine could not be reached, so the outcome of the attempt is
+/// unknown. Also reported for a start that the shell did not send because the leadership was not
+/// confirmed.
 struct model_lost {
     base::attempt_id attempt;
 };
 
-/// The shell did not start the attempt, since `start_by` had passed: its back end may have been
-/// marked as leaving since it was granted.
+/// The shell did not start the attempt because `start_by` had passed. The back end may have been
+/// marked as leaving since the grant.
 struct start_expired {
     base::attempt_id attempt;
 };
@@ -130,32 +133,32 @@
     std::string output;
 };
 
-/// The tool answered with an error. The status's `executed` detail says whether it ran.
+/// The tool returned an error. The `executed` detail of the status states whether it was executed.
 struct tool_failed {
     base::attempt_id attempt;
     absl::Status status;
 };
 
-/// No answer: the tool may have run.
+/// The tool sent no response; the call may have been executed.
 struct tool_lost {
     base::attempt_id attempt;
 };
 
 enum class tool_state {
-    /// It ran; `output` or `error` is what it answered.
+    /// The call was executed; `output` or `error` is its result.
     ran,
     running,
-    /// Never seen, and the tool will refuse the idempotency key from now on.
+    /// The tool never received the call and will refuse the idempotency key from now on.
     never_seen_and_fenced,
-    /// Never seen, but it may still arrive.
+    /// The tool has not received the call, but it may still arrive.
     never_seen,
-    /// The tool cannot tell, or does not know such queries.
+    /// The tool does not know the status or does not support such queries.
     cannot_tell,
-    /// The query got no answer; it is repeated within a bound.
+    /// The query got no response; it is repeated for a limited time.
     unreachable,
 };
 
-/// Answer to `action::query_tool_attempt`.
+/// Result of `action::query_tool_attempt`.
 struct tool_status {
     base::attempt_id attempt;
     tool_state state = tool_state::cannot_tell;
@@ -164,28 +167,30 @@
     absl::Status error;
 };
 
-/// The engine confirmed that it keeps nothing of the program, or is gone from the configuration.
+/// The engine confirmed that it holds no cache for the program, or was removed from the
+/// configuration.
 struct cache_released {
     base::program_id program;
     base::backend_id backend;
 };
 
-/// Final answer of another owner to `action::send_to_owner`. Status codes kUnavailable,
-/// kDeadlineExceeded, kAborted and kUnknown, and reason `not_owner`, mean "send again".
+/// Final reply of another owner to `action::send_to_owner`. The request is sent again on status
+/// codes kUnavailable, kDeadlineExceeded, kAborted and kUnknown, and on reason `not_owner`.
 struct owner_answered {
     std::uint64_t exchange = 0;
     absl::StatusOr<wire::program_reply> reply;
 };
 
-/// Answer to `action::read_retained`: payloads of the journal's committed records with the key
-/// prefix, in journal order.
+/// Result of `action::read_retained`: payloads of the committed records with the key prefix, in
+/// journal order.
 struct retained_read {
     base::program_id program;
     absl::StatusOr<std::vector<std::string>> payloads;
 };
 
-/// Most open programs and running calls of one tenant, or of one program class, in this shard.
-/// Empty `tenant` (or `program_class`): of each one not named. 0: no limit.
+/// Maximum number of open programs and running calls of one tenant, or of one program class, in
+/// this shard. If both names are empty, the limit applies to each tenant without its own limit. 0
+/// means no limit.
 struct concurrency_limit {
     base::tenant_id tenant;
     std::string program_class;
@@ -198,14 +203,14 @@
     std::vector<concurrency_limit> limits;
 };
 
-/// The operators' configuration: bounds on programs and the terms of tools. Fed before
+/// The operators' configuration: bounds on programs and the terms of tools. Passed before
 /// `journal_recovered` and after each change.
 struct configuration_changed {
     config::configuration_ptr configuration;
     base::region_name region;
 };
 
-/// Time passes; wanted every 50 ms or so.
+/// Drives all timers. Expected about every 50 ms.
 struct tick {};
 
 }  // namespace event
--- a/src/pearbarrow/program/shard_owner.h
+++ b/src/pearbarrow/program/shard_owner.h
@@ -1,8 +1,8 @@
 /// The owner of one shard's programs: a state machine without I/O, time or randomness of its own.
 ///
-/// It sequences each program's calls, keeps budgets and histories, journals before it acts, and
-/// talks to back ends, placement and other owners through the actions it returns. The shell feeds
-/// every outcome back as an event. See docs/design/programs.md.
+/// It orders each program's calls, tracks budgets and histories, and writes to the journal before
+/// it acts. It reaches back ends, placement and other owners through the actions that it returns.
+/// The shell passes every outcome back as an event. See docs/design/programs.md.
 #pragma once
 
 #include <memory>
@@ -17,9 +17,9 @@
 
 class owner_state;
 
-/// One term of ownership of one shard: made when this node's ballot holds, fed
-/// `event::journal_recovered` first, dropped after `event::ownership_lost`. Requests that come
-/// before the recovery are refused with `not_owner` and a time to come back.
+/// One term of ownership of one shard. It is created when this node's ballot succeeds, receives
+/// `event::journal_recovered` first and is destroyed after `event::ownership_lost`. Requests that
+/// arrive before the recovery are refused with `not_owner` and a retry delay.
 class shard_owner {
   public:
     explicit shard_owner(owner_options options);
@@ -27,20 +27,21 @@
     shard_owner(shard_owner&&) noexcept;
     shard_owner& operator=(shard_owner&&) noexcept;
 
-    /// The actions to carry out, in their order.
+    /// Applies an event and returns the actions to execute, in order.
     std::vector<shard_action> apply(const shard_event& event, base::instant now);
 
     /// Number of programs in memory, and bytes of cached history: for metrics.
     std::size_t program_count() const;
     std::size_t history_cache_bytes() const;
-    /// Programs that have not ended; the reconciliation of engines' caches goes by it.
+    /// Programs that have not ended. The reconciliation of engine caches uses this list.
     std::vector<base::program_id> live_programs() const;
-    /// What the request needs room in before it may be given to `apply`: empty when nothing limits
-    /// it, and for everything but new programs and new calls.
+    /// Returns the quota that the request needs before it may be passed to `apply`. The list is
+    /// empty when no limit applies, and for requests other than new programs and new calls.
     std::vector<quota_need> needs_of(const wire::program_request& request) const;
-    /// What the shard's programs use of the limits that apply to them.
+    /// Returns the shard's use of the limits that apply to its programs.
     const quota_use_map& quota_use() const;
-    /// True when no requester waits and no attempt runs: a planned hand-over may go on.
+    /// Returns true when no requester waits and no attempt runs, so a planned hand-over may
+    /// proceed.
     bool idle() const;
 
   private:
--- a/src/pearbarrow/program/snapshot.h
+++ b/src/pearbarrow/program/snapshot.h
@@ -1,4 +1,5 @@
-/// The state of a shard's programs as bytes, without the conversations that the journal retains.
+/// Serialization of the state of a shard's programs, without the conversations that the journal
+/// retains.
 #pragma once
 
 #include <string>
@@ -13,8 +14,9 @@
 
 std::string encode_snapshot(const program_map& programs);
 
-/// State from a snapshot (empty bytes: no programs) and the records after it, in order. Fails
-/// when any of them can't be read or applied: a shard with a damaged journal must not be served.
+/// Restores the state from a snapshot (empty: no programs) and the records after it, in order.
+/// Fails when any of them cannot be decoded or applied: a shard with a damaged journal must not be
+/// served.
 absl::StatusOr<program_map> restore(std::string_view snapshot,
                                     const std::vector<std::string>& payloads);
 
--- a/tests/unit/program/budget_test.cc
+++ b/tests/unit/program/budget_test.cc
@@ -1,4 +1,4 @@
-// Budgets, sub-programs, limits, and memory given back.
+// Tests of budgets, sub-programs, limits and cache release.
 #include "owner_harness.h"
 
 #include <criterion/criterion.h>
@@ -22,8 +22,8 @@
     return request;
 }
 
-/// Starts a second program's worth of calls against one budget; tokens that engines were asked for.
-std::uint64_t tokens_started(owner_options options) {
+/// Submits five calls whose reservations together exceed the budget. Returns the spent tokens.
+std::uint64_t spent_tokens_after_five_calls(owner_options options) {
     owner_harness harness(options);
     harness.open(300);
     for (std::uint64_t number = 1; number <= 5; ++number) {
@@ -36,7 +36,7 @@
     return harness.view().spent_tokens;
 }
 
-/// Sends the newest message to another owner into the same owner, and its answer back.
+/// Delivers the latest request to another owner to the same owner, and delivers its reply.
 void exchange(owner_harness& harness) {
     const auto send = harness.last<action::send_to_owner>();
     const reply_token token = harness.request(send.request);
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-Test(budget, is_reserved_before_and_settled_after) {
+Test(budget, is_reserved_before_a_call_and_settled_after_it) {
     owner_harness harness;
     harness.open(1'000);
     harness.submit(1, model_body("hello", 100));
@@ -57,14 +57,14 @@
     cr_assert(harness.view().remaining_budget == 988);
 }
 
-Test(budget, is_never_passed) {
-    cr_assert(tokens_started({}) <= 300);
+Test(budget, is_never_exceeded) {
+    cr_assert(spent_tokens_after_five_calls({}) <= 300);
     owner_options broken;
     broken.disabled.budget_reservation = true;
-    cr_assert(tokens_started(broken) > 300);
+    cr_assert(spent_tokens_after_five_calls(broken) > 300);
 }
 
-Test(budget, an_attempt_in_doubt_keeps_its_reservation) {
+Test(budget, attempt_with_unknown_outcome_keeps_its_reservation) {
     owner_harness harness;
     harness.open(1'000);
     harness.submit(1, tool_body(false, 400));
@@ -76,13 +76,13 @@
     cr_assert(harness.error_of(refused).reason == "budget_exhausted");
 }
 
-Test(budget, a_child_gets_its_part_and_gives_the_rest_back_once) {
+Test(budget, child_returns_unspent_tokens_only_once) {
     owner_harness harness;
     harness.open(1'000);
     const auto child = program::program("child");
     const reply_token opened = harness.request(open_child_of(program::program(), child, 400));
     cr_assert(harness.view().remaining_budget == 600);
-    cr_assert(!harness.answered(opened));
+    cr_assert(!harness.has_reply(opened));
     exchange(harness);
     cr_assert(harness.reply_of(opened).program->token_budget == 400);
     harness.submit(1, tool_body(false, 100), child);
@@ -94,7 +94,7 @@
     cr_assert(harness.view().remaining_budget == 900);
 }
 
-Test(budget, a_child_that_gave_its_rest_back_is_not_opened_again) {
+Test(budget, child_that_returned_its_budget_is_not_opened_again) {
     owner_harness harness;
     harness.open(1'000);
     const auto child = program::program("child");
@@ -111,7 +111,7 @@
     cr_assert(harness.all<action::send_to_owner>().size() == sent);
 }
 
-Test(budget, a_repeated_return_would_be_noticed) {
+Test(budget, repeated_return_adds_tokens_without_its_check) {
     owner_options broken;
     broken.disabled.transfer_once = true;
     owner_harness harness(broken);
@@ -123,7 +123,7 @@
     cr_assert(harness.view().remaining_budget > 1'000 - 800 + 300);
 }
 
-Test(budget, a_transfer_survives_the_owner) {
+Test(budget, transfer_survives_a_take_over) {
     owner_harness harness;
     harness.open(1'000);
     harness.request(open_child_of(program::program(), program::program("child"), 400));
@@ -134,11 +134,11 @@
     const reply_token again =
         harness.request(open_child_of(program::program(), program::program("child"), 400));
     exchange(harness);
-    cr_assert(harness.answered(again));
+    cr_assert(harness.has_reply(again));
     cr_assert(harness.view().remaining_budget == 600);
 }
 
-Test(budget, a_child_larger_than_the_parent_is_refused) {
+Test(budget, child_with_more_than_the_remaining_budget_is_refused) {
     owner_harness harness;
     harness.open(100);
     const reply_token refused =
@@ -147,7 +147,7 @@
     cr_assert(harness.all<action::send_to_owner>().empty());
 }
 
-Test(memory, of_an_ended_program_is_released_until_confirmed) {
+Test(memory, release_of_an_ended_program_is_repeated_until_confirmed) {
     const auto releases = [](owner_options options) {
         owner_harness harness(options);
         harness.open();
@@ -163,7 +163,7 @@
     cr_assert(releases(broken) == 1);
 }
 
-Test(memory, a_new_owner_goes_on_releasing_and_then_forgets) {
+Test(memory, new_owner_continues_the_release_and_then_forgets_the_program) {
     owner_harness harness;
     harness.open();
     const reply_token call = harness.submit(1, model_body("a"));
@@ -181,7 +181,7 @@
     cr_assert(harness.last<action::drop_retained>().key_prefix == "p1/");
 }
 
-Test(limits, each_has_its_own_reason) {
+Test(limits, each_limit_has_its_own_reason) {
     owner_harness harness;
     harness.open(10'000, program::program(), {.turns = 3, .equal_calls = 2});
     for (std::uint64_t number = 1; number <= 2; ++number) {
@@ -194,7 +194,7 @@
     cr_assert(harness.error_of(harness.submit(4, model_body("z"))).reason == "turn_limit");
 }
 
-Test(limits, idle_and_long_programs_are_ended) {
+Test(limits, idle_and_long_running_programs_are_ended) {
     owner_harness harness;
     harness.open(10'000, program::program("idle"), {.idle_ms = 1'000});
     harness.open(10'000, program::program("long"), {.idle_ms = 60'000, .run_time_ms = 3'000});
@@ -206,7 +206,7 @@
     cr_assert(harness.view(program::program("long")).end_reason == "run_time_limit");
 }
 
-Test(limits, tenants_and_classes_have_their_share) {
+Test(limits, tenant_concurrency_limit_refuses_programs_and_calls) {
     owner_harness harness;
     harness.apply(event::concurrency_limits_changed{
         {{.tenant = tenant(), .program_class = {}, .programs = 1, .running_calls = 1}}});
@@ -217,5 +217,5 @@
     harness.submit(1, tool_body());
     cr_assert(harness.error_of(harness.submit(2, tool_body())).reason == "tenant_concurrency");
     harness.end();
-    cr_assert(harness.answered(harness.open(1'000, program::program("p2"))));
+    cr_assert(harness.has_reply(harness.open(1'000, program::program("p2"))));
 }
--- a/tests/unit/program/calls_test.cc
+++ b/tests/unit/program/calls_test.cc
@@ -1,4 +1,4 @@
-// Order of calls, repeats, streams and re-attach, histories.
+// Tests of call order, repeated calls, streams, re-attach and histories.
 #include "owner_harness.h"
 
 #include <criterion/criterion.h>
@@ -8,13 +8,13 @@
 
 namespace {
 
-wire::program_request history_request(const base::tenant_id& of) {
-    wire::program_request request{.tenant = of, .program = program::program()};
+wire::program_request history_request(const base::tenant_id& requester) {
+    wire::program_request request{.tenant = requester, .program = program::program()};
     request.history = wire::get_history_request{};
     return request;
 }
 
-/// Call numbers in the order in which back ends heard of them.
+/// Returns the call numbers in the order in which the attempts were started.
 std::vector<std::uint64_t> started_calls(const owner_harness& harness) {
     std::vector<std::uint64_t> numbers;
     for (const auto& start : harness.all<action::start_model_attempt>()) {
@@ -23,22 +23,22 @@
     return numbers;
 }
 
-std::vector<std::uint64_t> submit_backwards(owner_options options) {
+std::vector<std::uint64_t> submit_in_reverse_order(owner_options options) {
     owner_harness harness(options);
     harness.open();
     harness.submit(2, model_body("second"));
     harness.submit(1, model_body("first"));
-    std::size_t answered = 0;
-    while (answered < harness.all<action::start_model_attempt>().size()) {
-        harness.generate(harness.all<action::start_model_attempt>()[answered].attempt, "x");
-        ++answered;
+    std::size_t finished = 0;
+    while (finished < harness.all<action::start_model_attempt>().size()) {
+        harness.generate(harness.all<action::start_model_attempt>()[finished].attempt, "x");
+        ++finished;
     }
     return started_calls(harness);
 }
 
 }  // namespace
 
-Test(calls, a_conversation_runs_to_its_end) {
+Test(calls, prompt_contains_all_earlier_turns) {
     owner_harness harness;
     const reply_token opened = harness.open();
     cr_assert(harness.reply_of(opened).program->state == "open");
@@ -59,24 +59,24 @@
 }
 
 Test(calls, run_in_the_order_of_their_numbers) {
-    cr_assert(submit_backwards({}) == (std::vector<std::uint64_t>{1, 2}));
+    cr_assert(submit_in_reverse_order({}) == (std::vector<std::uint64_t>{1, 2}));
     owner_options broken;
     broken.disabled.call_order = true;
-    cr_assert(submit_backwards(broken) == (std::vector<std::uint64_t>{2, 1}));
+    cr_assert(submit_in_reverse_order(broken) == (std::vector<std::uint64_t>{2, 1}));
 }
 
-Test(calls, a_missing_number_is_awaited_for_a_bound) {
+Test(calls, call_after_a_missing_number_fails_after_the_gap_wait) {
     owner_harness harness;
     harness.open();
     const reply_token early = harness.submit(3, model_body("third"));
-    cr_assert(!harness.answered(early));
+    cr_assert(!harness.has_reply(early));
     harness.pass(base::seconds(6));
     cr_assert(harness.error_of(early).reason == "call_number_gap");
     cr_assert(harness.error_of(early).retry_after.has_value());
     cr_assert(harness.view().next_call == base::call_number(1));
 }
 
-Test(calls, a_repeated_number_attaches_and_another_body_conflicts) {
+Test(calls, repeated_number_attaches_and_different_body_conflicts) {
     owner_harness harness;
     harness.open();
     const reply_token first = harness.submit(1, model_body("a"));
@@ -91,7 +91,7 @@
     cr_assert(harness.all<action::start_model_attempt>().size() == 1);
 }
 
-Test(calls, an_idempotency_key_names_the_call) {
+Test(calls, repeated_idempotency_key_attaches_to_the_same_call) {
     owner_harness harness;
     harness.open();
     wire::program_request request{.tenant = tenant(), .program = program::program()};
@@ -105,7 +105,7 @@
     cr_assert(harness.error_of(harness.request(request)).reason == "call_conflict");
 }
 
-Test(calls, another_tenant_finds_nothing) {
+Test(calls, program_is_not_found_by_another_tenant) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("secret"));
@@ -121,7 +121,7 @@
     cr_assert(leaking.error_of(leak).reason.empty(), "the probe must notice a missing check");
 }
 
-Test(calls, operators_read_decisions_and_nothing_else_of_any_tenant) {
+Test(calls, operator_can_read_only_decision_records) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("secret"));
@@ -143,7 +143,7 @@
     cr_assert(harness.error_of(harness.request(request)).reason == "program_not_found");
 }
 
-Test(calls, an_empty_tenant_is_no_operator) {
+Test(calls, empty_tenant_gives_no_operator_access) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("secret"));
@@ -154,7 +154,7 @@
     cr_assert(harness.error_of(harness.request(request)).reason == "program_not_found");
 }
 
-Test(calls, histories_survive_take_over_and_eviction_unmixed) {
+Test(calls, histories_stay_separate_after_take_over_and_eviction) {
     owner_options options;
     options.history_cache_bytes = 1;
     owner_harness harness(options);
@@ -174,7 +174,7 @@
               prompt[1].content == "hello b");
 }
 
-Test(calls, a_reader_re_attaches_behind_what_it_has) {
+Test(calls, reattached_reader_gets_only_the_missing_text) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("a"));
@@ -189,7 +189,7 @@
     cr_assert(harness.streamed(late) == harness.reply_of(late).call->output.substr(3));
 }
 
-Test(calls, repeated_parts_are_not_delivered_twice) {
+Test(calls, repeated_parts_are_delivered_once) {
     const auto text_of = [](owner_options options) {
         owner_harness harness(options);
         harness.open();
@@ -206,7 +206,7 @@
     cr_assert(text_of(broken) == "abcabcd");
 }
 
-Test(calls, a_new_owner_resumes_the_stream_of_the_same_attempt) {
+Test(calls, new_owner_resumes_the_stream_of_the_same_attempt) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("a"));
@@ -226,7 +226,7 @@
     cr_assert(harness.all<action::start_model_attempt>().empty());
 }
 
-Test(calls, an_answer_started_afresh_says_so) {
+Test(calls, new_attempt_restarts_the_streamed_text) {
     owner_harness harness;
     harness.open();
     const reply_token reader = harness.submit(1, model_body("a"));
@@ -247,7 +247,7 @@
     cr_assert(harness.view().reserved_tokens > 0, "the lost attempt's cost stays in doubt");
 }
 
-Test(calls, an_engine_out_of_reach_after_a_take_over_is_asked_again) {
+Test(calls, unreachable_engine_is_retried_after_a_take_over) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("a"));
--- a/tests/unit/program/counted_limits_test.cc
+++ b/tests/unit/program/counted_limits_test.cc
@@ -1,4 +1,4 @@
-// What a request needs room in, and what the shard's programs use.
+// Tests of the quota that requests need and of the shard's use of limits.
 #include "pearbarrow/program/counted_limits.h"
 #include "owner_harness.h"
 
@@ -10,7 +10,7 @@
 
 const config::object_key tenant_key{config::object_kind::tenant, tenant().value()};
 
-void bound(owner_harness& harness, const config::limits& bounds) {
+void configure(owner_harness& harness, const config::limits& bounds) {
     config::tenant_spec spec;
     spec.bounds = bounds;
     harness.apply(event::configuration_changed{
@@ -37,34 +37,36 @@
 
 }  // namespace
 
-Test(counted_limits, only_what_is_new_needs_room) {
+Test(counted_limits, only_new_programs_and_calls_need_quota) {
     owner_harness harness;
     cr_assert(harness.owner().needs_of(open_request(program::program())).empty());
-    bound(harness, {.calls_per_second = 5, .programs_at_once = 3, .tokens_in_flight = 10'000});
-    const auto to_open = harness.owner().needs_of(open_request(program::program()));
-    cr_assert(to_open.size() == 1 && to_open[0].key.counter == quota_counter::programs &&
-              to_open[0].amount == 1);
+    configure(harness, {.calls_per_second = 5, .programs_at_once = 3, .tokens_in_flight = 10'000});
+    const auto opening_needs = harness.owner().needs_of(open_request(program::program()));
+    cr_assert(opening_needs.size() == 1 &&
+              opening_needs[0].key.counter == quota_counter::programs &&
+              opening_needs[0].amount == 1);
     harness.open();
     cr_assert(harness.owner().needs_of(open_request(program::program())).empty(),
-              "a repeated opening needs none");
+              "a repeated open request needs no quota");
 
-    const auto to_call = harness.owner().needs_of(call_request(1, model_body("a")));
-    cr_assert(to_call.size() == 2 && to_call[0].key.counter == quota_counter::tokens &&
-              to_call[1].key.counter == quota_counter::calls);
-    cr_assert(to_call[0].amount > 100, "the output limit and the prompt");
-    const auto to_run = harness.owner().needs_of(call_request(1, tool_body()));
-    cr_assert(to_run.size() == 1 && to_run[0].key.counter == quota_counter::calls);
+    const auto model_needs = harness.owner().needs_of(call_request(1, model_body("a")));
+    cr_assert(model_needs.size() == 2 && model_needs[0].key.counter == quota_counter::tokens &&
+              model_needs[1].key.counter == quota_counter::calls);
+    cr_assert(model_needs[0].amount > 100, "the output limit and the prompt");
+    const auto tool_needs = harness.owner().needs_of(call_request(1, tool_body()));
+    cr_assert(tool_needs.size() == 1 && tool_needs[0].key.counter == quota_counter::calls);
     harness.submit(1, model_body("a"));
     cr_assert(harness.owner().needs_of(call_request(1, model_body("a"))).empty(),
-              "a repeated call needs none");
+              "a repeated call needs no quota");
     wire::program_request rival = call_request(2, model_body("b"));
     rival.tenant = tenant("rival");
-    cr_assert(harness.owner().needs_of(rival).empty(), "it will be refused, and uses nothing");
+    cr_assert(harness.owner().needs_of(rival).empty(),
+              "a request that will be refused needs no quota");
 }
 
-Test(counted_limits, use_follows_programs_and_calls_and_the_next_owner_counts_the_same) {
+Test(counted_limits, use_follows_programs_and_calls_and_is_recounted_after_a_take_over) {
     owner_harness harness;
-    bound(harness, {.programs_at_once = 3});
+    configure(harness, {.programs_at_once = 3});
     harness.open();
     harness.open(1'000, program::program("p2"));
     harness.submit(1, model_body("a"));
@@ -72,7 +74,7 @@
     cr_assert(before.programs == 2 && before.tokens > 100);
 
     harness.take_over();
-    bound(harness, {.programs_at_once = 3});
+    configure(harness, {.programs_at_once = 3});
     cr_assert(use_of(harness).programs == 2 && use_of(harness).tokens == before.tokens);
     harness.generate(harness.last<action::resume_model_attempt>().attempt, "done");
     cr_assert(use_of(harness).tokens == 0);
@@ -81,14 +83,14 @@
     cr_assert(harness.owner().quota_use().empty());
 }
 
-Test(counted_limits, a_change_of_the_configuration_counts_afresh) {
+Test(counted_limits, configuration_change_recounts_the_use) {
     owner_harness harness;
     harness.open();
     harness.submit(1, model_body("a"));
     cr_assert(harness.owner().quota_use().empty());
-    bound(harness, {.tokens_in_flight = 1'000});
+    configure(harness, {.tokens_in_flight = 1'000});
     cr_assert(use_of(harness).programs == 1 && use_of(harness).tokens > 100);
-    bound(harness, {.tokens_in_flight = 2'000});
+    configure(harness, {.tokens_in_flight = 2'000});
     cr_assert(use_of(harness).programs == 1, "not counted twice");
 }
 
--- a/tests/unit/program/durability_test.cc
+++ b/tests/unit/program/durability_test.cc
@@ -1,4 +1,4 @@
-// Journal before act, at most once, the truth about what was executed, snapshots.
+// Tests of write-ahead journaling, at-most-once execution, the `executed` detail and snapshots.
 #include "owner_harness.h"
 #include "pearbarrow/program/history_cache.h"
 #include "pearbarrow/program/snapshot.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A tool call whose owner is lost after the send.
-owner_harness in_doubt(owner_options options, bool repeatable = false) {
+/// Returns the owner that takes over after a tool call was sent.
+owner_harness owner_after_lost_tool_call(owner_options options, bool repeatable = false) {
     owner_harness harness(options);
     harness.open();
     harness.submit(1, tool_body(repeatable));
@@ -20,8 +20,8 @@
     return harness;
 }
 
-base::error_details outcome_after(event::tool_state state) {
-    owner_harness harness = in_doubt({});
+base::error_details error_after_tool_state(event::tool_state state) {
+    owner_harness harness = owner_after_lost_tool_call({});
     const reply_token reader = harness.submit(1, tool_body());
     harness.apply(
         event::tool_status{harness.last<action::query_tool_attempt>().attempt, state, {}});
@@ -31,7 +31,7 @@
 }  // namespace
 
 Test(durability, nothing_is_sent_before_its_intent_is_committed) {
-    const auto sends_early = [](owner_options options) {
+    const auto sends_before_commit = [](owner_options options) {
         owner_harness harness(options);
         harness.open();
         harness.auto_grant = false;
@@ -40,13 +40,13 @@
         harness.apply(event::placement_granted{harness.last<action::offer_call>().offer, tool_one});
         return !harness.all<action::start_tool_attempt>().empty();
     };
-    cr_assert(!sends_early({}));
+    cr_assert(!sends_before_commit({}));
     owner_options broken;
     broken.disabled.journal_before_act = true;
-    cr_assert(sends_early(broken));
+    cr_assert(sends_before_commit(broken));
 }
 
-Test(durability, a_grant_is_not_acted_on_once_it_has_grown_old) {
+Test(durability, expired_grant_starts_no_attempt) {
     const auto starts_after = [](base::milliseconds commit_delay) {
         owner_harness harness;
         harness.open();
@@ -62,24 +62,24 @@
     cr_assert(starts_after(base::milliseconds(3'000)) == 0);
 }
 
-Test(durability, no_answer_before_its_result_is_committed) {
-    const auto answers_early = [](owner_options options) {
+Test(durability, no_reply_is_sent_before_its_result_is_committed) {
+    const auto replies_before_commit = [](owner_options options) {
         owner_harness harness(options);
         harness.open();
         const reply_token reader = harness.submit(1, tool_body());
         harness.auto_commit = false;
         harness.apply(
             event::tool_finished{harness.last<action::start_tool_attempt>().attempt, "out"});
-        return harness.answered(reader);
+        return harness.has_reply(reader);
     };
-    cr_assert(!answers_early({}));
+    cr_assert(!replies_before_commit({}));
     owner_options broken;
     broken.disabled.journal_before_act = true;
-    cr_assert(answers_early(broken));
+    cr_assert(replies_before_commit(broken));
 }
 
-Test(durability, a_call_in_doubt_is_asked_for_and_never_sent_again) {
-    owner_harness harness = in_doubt({});
+Test(durability, tool_call_with_unknown_outcome_is_queried_and_not_resent) {
+    owner_harness harness = owner_after_lost_tool_call({});
     cr_assert(harness.all<action::start_tool_attempt>().empty());
     const auto query = harness.last<action::query_tool_attempt>();
     const reply_token reader = harness.submit(1, tool_body());
@@ -91,22 +91,24 @@
 
     owner_options broken;
     broken.disabled.in_doubt_query = true;
-    cr_assert(!in_doubt(broken).all<action::start_tool_attempt>().empty());
+    cr_assert(!owner_after_lost_tool_call(broken).all<action::start_tool_attempt>().empty());
 }
 
-Test(durability, executed_says_what_is_known) {
-    cr_assert(outcome_after(event::tool_state::never_seen_and_fenced).reason == "not_delivered");
-    cr_assert(outcome_after(event::tool_state::never_seen_and_fenced).retry_after.has_value());
-    cr_assert(outcome_after(event::tool_state::never_seen_and_fenced).was_executed ==
+Test(durability, executed_detail_matches_the_tool_status) {
+    cr_assert(error_after_tool_state(event::tool_state::never_seen_and_fenced).reason ==
+              "not_delivered");
+    cr_assert(
+        error_after_tool_state(event::tool_state::never_seen_and_fenced).retry_after.has_value());
+    cr_assert(error_after_tool_state(event::tool_state::never_seen_and_fenced).was_executed ==
               base::executed::no);
     for (const auto state : {event::tool_state::never_seen, event::tool_state::cannot_tell}) {
-        cr_assert(outcome_after(state).reason == "outcome_unknown");
-        cr_assert(outcome_after(state).was_executed == base::executed::unknown);
+        cr_assert(error_after_tool_state(state).reason == "outcome_unknown");
+        cr_assert(error_after_tool_state(state).was_executed == base::executed::unknown);
     }
 }
 
-Test(durability, a_final_answer_stays_for_repeats_and_later_owners) {
-    owner_harness harness = in_doubt({});
+Test(durability, final_error_is_kept_for_repeated_calls_and_later_owners) {
+    owner_harness harness = owner_after_lost_tool_call({});
     harness.submit(1, tool_body());
     harness.apply(event::tool_status{
         harness.last<action::query_tool_attempt>().attempt, event::tool_state::cannot_tell, {}});
@@ -117,8 +119,8 @@
     cr_assert(harness.all<action::start_tool_attempt>().empty());
 }
 
-Test(durability, a_repeatable_call_runs_again_with_the_same_key) {
-    owner_harness harness = in_doubt({}, true);
+Test(durability, repeatable_call_is_retried_with_the_same_key) {
+    owner_harness harness = owner_after_lost_tool_call({}, true);
     const auto query = harness.last<action::query_tool_attempt>();
     harness.apply(event::tool_status{query.attempt, event::tool_state::never_seen, {}});
     harness.pass(base::seconds(1));
@@ -127,7 +129,7 @@
     cr_assert(start.attempt != query.attempt);
 }
 
-Test(durability, an_accepted_call_without_intent_is_offered_again) {
+Test(durability, accepted_call_without_intent_is_offered_again) {
     owner_harness harness;
     harness.open();
     harness.auto_grant = false;
@@ -139,7 +141,7 @@
     cr_assert(harness.all<action::offer_call>().size() == 2);
 }
 
-Test(durability, cancelled_before_the_send_means_not_run) {
+Test(durability, call_cancelled_before_the_send_is_not_executed) {
     owner_harness harness;
     harness.open();
     harness.auto_grant = false;
@@ -149,7 +151,7 @@
     wire::program_request cancel{.tenant = tenant(), .program = program::program()};
     cancel.cancel = wire::cancel_call_request{base::call_number(1)};
     harness.request(cancel);
-    cr_assert(!harness.answered(reader));
+    cr_assert(!harness.has_reply(reader));
     harness.commit();
     harness.commit();
     cr_assert(harness.error_of(reader).reason == "cancelled");
@@ -157,7 +159,7 @@
     cr_assert(harness.all<action::start_tool_attempt>().empty());
 }
 
-Test(durability, a_lost_owner_says_so_and_refuses_everything) {
+Test(durability, owner_that_lost_its_shard_refuses_requests) {
     owner_harness harness;
     harness.open();
     const reply_token waiting = harness.submit(1, tool_body());
@@ -169,7 +171,7 @@
     cr_assert(harness.error_of(late).peer == "n2");
 }
 
-Test(durability, a_hung_tool_is_unknown_at_the_deadline) {
+Test(durability, hanging_tool_call_has_unknown_outcome_at_the_deadline) {
     owner_harness harness;
     harness.open();
     const reply_token reader = harness.submit(1, tool_body());
@@ -179,7 +181,7 @@
     cr_assert(harness.view().reserved_tokens == 10);
 }
 
-Test(durability, without_a_quorum_new_calls_are_refused) {
+Test(durability, new_calls_are_refused_without_a_quorum) {
     owner_harness harness;
     harness.open();
     harness.apply(event::journal_availability{false});
@@ -189,7 +191,7 @@
     cr_assert(harness.error_of(refused).retry_after.has_value());
 }
 
-Test(durability, a_snapshot_replaces_the_records_before_it) {
+Test(durability, snapshot_replaces_the_records_before_it) {
     owner_options options;
     options.snapshot_every = 5;
     owner_harness harness(options);
@@ -206,7 +208,7 @@
     cr_assert(harness.last<action::start_model_attempt>().messages.size() == 7);
 }
 
-Test(durability, a_damaged_journal_is_refused) {
+Test(durability, damaged_journal_is_refused) {
     cr_assert(!restore({}, {"garbage"}).ok());
     cr_assert(!restore("garbage", {}).ok());
     program_record stray;
@@ -218,7 +220,7 @@
               "unknown_record");
 }
 
-Test(durability, the_history_cache_keeps_to_its_bytes) {
+Test(durability, history_cache_stays_within_its_byte_limit) {
     history_cache cache(5'000);
     for (int i = 0; i < 100; ++i) {
         program_history history;
--- a/tests/unit/program/owner_harness.h
+++ b/tests/unit/program/owner_harness.h
@@ -1,4 +1,4 @@
-/// Drives one `shard_owner` over a journal kept in memory, for unit tests.
+/// Drives one `shard_owner` with an in-memory journal, for unit tests.
 #pragma once
 
 #include <map>
@@ -37,7 +37,7 @@
     return body;
 }
 
-/// One committed record, as the journal keeps it.
+/// One committed record of the journal.
 struct journal_entry {
     std::string payload;
     std::string key;
@@ -56,14 +56,15 @@
 
     base::instant now() const { return now_; }
 
-    /// Feeds an event and carries out what the switches above say.
+    /// Applies an event and executes the resulting actions. `auto_commit` and `auto_grant` control
+    /// whether records are committed and offers are granted.
     void apply(const shard_event& event) {
         std::vector<shard_action> pending = owner_.apply(event, now_);
         for (const shard_action& action : pending) {
             actions.push_back(action);
         }
         for (const shard_action& action : pending) {
-            carry_out(action);
+            execute(action);
         }
         if (auto_commit && appended_ > committed_) {
             commit();
@@ -79,7 +80,7 @@
         apply(event::records_committed{committed_});
     }
 
-    /// Lets time pass in steps of 50 ms.
+    /// Advances the clock in steps of 50 ms.
     void pass(base::milliseconds span) {
         constexpr base::milliseconds step{50};
         for (base::milliseconds passed{0}; passed < span; passed += step) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A new owner takes over: what is not committed is lost.
+    /// Replaces the owner by a new one. Uncommitted records are lost.
     void take_over(const std::string& snapshot = {}, std::size_t skip = 0) {
         owner_ = shard_owner(options_);
         actions.clear();
@@ -137,7 +138,7 @@
         return this->request(std::move(request));
     }
 
-    /// The engine answers the newest started (or resumed) attempt with `text`, a token a byte.
+    /// Finishes `attempt` with the output `text`, one token per byte.
     void generate(const base::attempt_id& attempt, const std::string& text,
                   std::uint64_t prompt_tokens = 20) {
         part(attempt, text.size(), text);
@@ -165,7 +166,7 @@
         return all<Action>().back();
     }
 
-    bool answered(reply_token token) const {
+    bool has_reply(reply_token token) const {
         return errors_.contains(token) || replies_.contains(token);
     }
     wire::program_reply reply_of(reply_token token) const { return replies_.at(token); }
@@ -173,7 +174,7 @@
         return errors_.contains(token) ? base::details_of(errors_.at(token))
                                        : base::error_details{};
     }
-    /// Text that a streaming reader holds after all parts, restarts obeyed.
+    /// Returns the text that a streaming reader has after all parts and restarts.
     std::string streamed(reply_token token) const {
         std::string text;
         for (const auto& part : all<action::reply_part>()) {
@@ -186,7 +187,7 @@
     const shard_owner& owner() const { return owner_; }
 
   private:
-    void carry_out(const shard_action& action) {
+    void execute(const shard_action& action) {
         if (const auto* append = std::get_if<action::append_record>(&action)) {
             appended_ = append->sequence;
             uncommitted_.push_back({append->payload, append->retention_key});
