--- a/tests/simulation/program/event_queue.h
+++ b/tests/simulation/program/event_queue.h
@@ -1,4 +1,4 @@
-/// Virtual time: a queue of things to do, in the order of their instants.
+/// Virtual time: a queue of tasks ordered by time.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
     }
     void after(base::microseconds delay, task run) { at(now_ + delay, std::move(run)); }
 
-    /// Runs the next task; false when none is left.
+    /// Runs the next task. Returns false when the queue is empty.
     bool step() {
         if (tasks_.empty()) {
             return false;
--- a/tests/simulation/program/model_backends.cc
+++ b/tests/simulation/program/model_backends.cc
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr std::uint64_t longest_delay_us = 30'000;
-constexpr std::uint64_t longest_token_us = 20'000;
-constexpr std::uint64_t longest_tool_us = 300'000;
-constexpr base::seconds hanging{30};
+constexpr std::uint64_t max_delay_us = 30'000;
+constexpr std::uint64_t max_token_us = 20'000;
+constexpr std::uint64_t max_tool_us = 300'000;
+constexpr base::seconds hang_duration{30};
 constexpr double hang_chance = 0.03;
 constexpr double tool_error_chance = 0.05;
 constexpr double tool_refusal_chance = 0.05;
@@ -44,7 +44,7 @@
 
 void ordered_link::send(event_queue::task arrive) {
     last_ = std::max(last_ + base::microseconds(1),
-                     queue_.now() + base::microseconds(random_.below(longest_delay_us)));
+                     queue_.now() + base::microseconds(random_.below(max_delay_us)));
     queue_.at(last_, std::move(arrive));
 }
 
@@ -52,21 +52,21 @@
     return std::make_shared<ordered_link>(queue_, random_);
 }
 
-void model_engine::answer(receiver to, program::shard_event event) {
-    const int copies = random_.chance(faults_.repeat_answer) ? 2 : 1;
+void model_engine::send_reply(receiver to, program::shard_event event) {
+    const int copies = random_.chance(faults_.repeat_reply) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-        queue_.after(base::microseconds(random_.below(longest_delay_us)),
-                     [to, event] { to(event); });
+        queue_.after(base::microseconds(random_.below(max_delay_us)), [to, event] { to(event); });
     }
 }
 
 void model_engine::start(const program::action::start_model_attempt& request, receiver to) {
     const std::uint64_t epoch = epoch_;
-    queue_.after(base::microseconds(random_.below(longest_delay_us)), [this, request, to, epoch] {
+    queue_.after(base::microseconds(random_.below(max_delay_us)), [this, request, to, epoch] {
         if (epoch != epoch_) {
-            answer(to, event::model_lost{request.attempt});
+            send_reply(to, event::model_lost{request.attempt});
         } else if (refused_.contains(request.attempt)) {
-            answer(to, event::model_failed{request.attempt,
+            send_reply(to,
+                       event::model_failed{request.attempt,
                                            engine_error("attempt_cancelled", base::executed::no),
                                            std::nullopt});
         } else if (streams_.contains(request.attempt)) {
@@ -79,7 +79,7 @@
 
 void model_engine::run(const program::action::start_model_attempt& request, receiver to) {
     stream started;
-    started.run = history_.model_runs.size();
+    started.run = history_.model_executions.size();
     started.program = request.program;
     const std::uint64_t length =
         1 + base::stable_hash(request.attempt.value()) % request.max_output_tokens;
@@ -88,26 +88,26 @@
     }
     started.to = to;
     started.link = new_link();
-    model_run run;
+    model_execution run;
     run.call = {request.program, request.call};
     run.attempt = request.attempt;
     run.messages = request.messages;
     run.prompt_tokens = tokens_of(request.messages);
     run.started = queue_.now();
-    history_.model_runs.push_back(std::move(run));
+    history_.model_executions.push_back(std::move(run));
     pinned_.insert(request.program);
     streams_[request.attempt] = std::move(started);
     produce(request.attempt, epoch_);
 }
 
 void model_engine::produce(const base::attempt_id& attempt, std::uint64_t epoch) {
-    queue_.after(base::microseconds(random_.below(longest_token_us)), [this, attempt, epoch] {
+    queue_.after(base::microseconds(random_.below(max_token_us)), [this, attempt, epoch] {
         const auto found = streams_.find(attempt);
         if (epoch != epoch_ || found == streams_.end() || found->second.cancelled) {
             return;
         }
         stream& of = found->second;
-        model_run& run = history_.model_runs[of.run];
+        model_execution& run = history_.model_executions[of.run];
         run.text += of.tokens[of.produced];
         ++of.produced;
         ++run.generated_tokens;
@@ -145,7 +145,7 @@
 }
 
 wire::token_usage model_engine::usage_of(const stream& of) const {
-    return {.prompt_tokens = history_.model_runs[of.run].prompt_tokens,
+    return {.prompt_tokens = history_.model_executions[of.run].prompt_tokens,
             .cached_tokens = 0,
             .generated_tokens = of.produced};
 }
@@ -153,9 +153,9 @@
 void model_engine::attach(const base::attempt_id& attempt, std::uint64_t from, receiver to) {
     stream& of = streams_.at(attempt);
     if (of.cancelled) {
-        answer(to,
-               event::model_failed{attempt, engine_error("attempt_cancelled", base::executed::yes),
-                                   usage_of(of)});
+        send_reply(
+            to, event::model_failed{attempt, engine_error("attempt_cancelled", base::executed::yes),
+                                    usage_of(of)});
         return;
     }
     of.to = to;
@@ -165,11 +165,11 @@
 }
 
 void model_engine::resume(const base::attempt_id& attempt, std::uint64_t from, receiver to) {
-    queue_.after(base::microseconds(random_.below(longest_delay_us)), [this, attempt, from, to] {
+    queue_.after(base::microseconds(random_.below(max_delay_us)), [this, attempt, from, to] {
         if (!streams_.contains(attempt)) {
-            answer(to, event::model_failed{attempt,
-                                           engine_error("stream_unknown", base::executed::unknown),
-                                           std::nullopt});
+            send_reply(to, event::model_failed{
+                               attempt, engine_error("stream_unknown", base::executed::unknown),
+                               std::nullopt});
             return;
         }
         attach(attempt, from, to);
@@ -177,7 +177,7 @@
 }
 
 void model_engine::cancel(const base::attempt_id& attempt, receiver to) {
-    queue_.after(base::microseconds(random_.below(longest_delay_us)), [this, attempt, to] {
+    queue_.after(base::microseconds(random_.below(max_delay_us)), [this, attempt, to] {
         const auto found = streams_.find(attempt);
         program::shard_event outcome;
         if (found == streams_.end()) {
@@ -192,20 +192,20 @@
             found->second.to = nullptr;
             outcome = event::model_finished{attempt, usage_of(found->second), "cancelled"};
         }
-        if (random_.chance(faults_.lose_answer)) {
+        if (random_.chance(faults_.lose_reply)) {
             outcome = event::model_lost{attempt};
         }
-        answer(to, outcome);
+        send_reply(to, outcome);
     });
 }
 
 void model_engine::release(const base::program_id& program, receiver to) {
-    queue_.after(base::microseconds(random_.below(longest_delay_us)), [this, program, to] {
-        if (random_.chance(faults_.lose_answer)) {
+    queue_.after(base::microseconds(random_.below(max_delay_us)), [this, program, to] {
+        if (random_.chance(faults_.lose_reply)) {
             return;
         }
         pinned_.erase(program);
-        if (!random_.chance(faults_.lose_answer)) {
+        if (!random_.chance(faults_.lose_reply)) {
             to(event::cache_released{program, {}});
         }
     });
@@ -215,7 +215,7 @@
     ++epoch_;
     for (const auto& [attempt, lost] : streams_) {
         if (lost.to) {
-            answer(lost.to, event::model_lost{attempt});
+            send_reply(lost.to, event::model_lost{attempt});
         }
     }
     streams_.clear();
@@ -227,26 +227,25 @@
     return pinned_;
 }
 
-void model_tool::answer(receiver to, program::shard_event event) {
-    const int copies = random_.chance(faults_.repeat_answer) ? 2 : 1;
+void model_tool::send_reply(receiver to, program::shard_event event) {
+    const int copies = random_.chance(faults_.repeat_reply) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-        queue_.after(base::microseconds(random_.below(longest_delay_us)),
-                     [to, event] { to(event); });
+        queue_.after(base::microseconds(random_.below(max_delay_us)), [to, event] { to(event); });
     }
 }
 
 void model_tool::invoke(const program::action::start_tool_attempt& request,
                         const wire::tool_call& body, receiver to) {
-    queue_.after(base::microseconds(random_.below(longest_delay_us)), [this, request, body, to] {
+    queue_.after(base::microseconds(random_.below(max_delay_us)), [this, request, body, to] {
         const std::string& key = request.idempotency_key;
         const auto refuse = [&] {
-            answer(to, event::tool_failed{request.attempt,
-                                          engine_error("tool_refused", base::executed::no)});
+            send_reply(to, event::tool_failed{request.attempt,
+                                              engine_error("tool_refused", base::executed::no)});
         };
         if (memory_ == tool_memory::full && refused_.contains(key)) {
             refuse();
         } else if (memory_ == tool_memory::full && keys_.contains(key)) {
-            answer(to, event::tool_finished{request.attempt, output_of(key)});
+            send_reply(to, event::tool_finished{request.attempt, output_of(key)});
         } else if (random_.chance(tool_refusal_chance)) {
             refuse();
         } else {
@@ -259,31 +258,31 @@
                      const wire::tool_call& body, receiver to) {
     const std::string key = request.idempotency_key;
     keys_.emplace(key, key_state::running);
-    history_.tool_runs.push_back({.call = {request.program, request.call},
-                                  .repeatable = body.repeatable,
-                                  .cost = body.declared_cost,
-                                  .started = queue_.now()});
+    history_.tool_executions.push_back({.call = {request.program, request.call},
+                                        .repeatable = body.repeatable,
+                                        .cost = body.declared_cost,
+                                        .started = queue_.now()});
     const base::microseconds duration = random_.chance(hang_chance)
-                                            ? base::microseconds(hanging)
-                                            : base::microseconds(random_.below(longest_tool_us));
+                                            ? base::microseconds(hang_duration)
+                                            : base::microseconds(random_.below(max_tool_us));
     queue_.after(duration, [this, key, to, attempt = request.attempt] {
         keys_[key] = key_state::ran;
-        if (random_.chance(faults_.lose_answer)) {
-            answer(to, event::tool_lost{attempt});
+        if (random_.chance(faults_.lose_reply)) {
+            send_reply(to, event::tool_lost{attempt});
         } else if (random_.chance(tool_error_chance)) {
-            answer(to,
-                   event::tool_failed{attempt, engine_error("tool_failed", base::executed::yes)});
+            send_reply(
+                to, event::tool_failed{attempt, engine_error("tool_failed", base::executed::yes)});
         } else {
-            answer(to, event::tool_finished{attempt, output_of(key)});
+            send_reply(to, event::tool_finished{attempt, output_of(key)});
         }
     });
 }
 
 void model_tool::query(const program::action::query_tool_attempt& request, receiver to) {
-    queue_.after(base::microseconds(random_.below(longest_delay_us)), [this, request, to] {
+    queue_.after(base::microseconds(random_.below(max_delay_us)), [this, request, to] {
         event::tool_status status{.attempt = request.attempt, .output = {}, .error = {}};
         const auto known = keys_.find(request.idempotency_key);
-        if (random_.chance(faults_.lose_answer)) {
+        if (random_.chance(faults_.lose_reply)) {
             status.state = event::tool_state::unreachable;
         } else if (memory_ == tool_memory::none) {
             status.state = event::tool_state::cannot_tell;
@@ -297,7 +296,7 @@
         } else {
             status.state = event::tool_state::never_seen;
         }
-        answer(to, status);
+        send_reply(to, status);
     });
 }
 
--- a/tests/simulation/program/model_backends.h
+++ b/tests/simulation/program/model_backends.h
@@ -1,4 +1,4 @@
-/// Model engines and tool services with the faults that real ones show.
+/// Simulated model engines and tool services that inject the faults of real ones.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,19 @@
 
 namespace pearbarrow::simulation {
 
-/// Where a back end's answers go; the receiver may be gone by then.
+/// Receives the replies of a back end. The owner behind it may no longer be alive.
 using receiver = std::function<void(const program::shard_event&)>;
 
 struct backend_faults {
-    /// Chances that a stream's connection breaks at a token, that any other answer is lost, that
-    /// an answer comes twice, and that a part of a stream does.
+    /// Probabilities that a stream's connection breaks at a token, that any other reply is lost,
+    /// that a reply is duplicated, and that a part of a stream is duplicated.
     double break_stream = 0.004;
-    double lose_answer = 0.1;
-    double repeat_answer = 0.1;
+    double lose_reply = 0.1;
+    double repeat_reply = 0.1;
     double repeat_part = 0.02;
 };
 
-/// A connection: messages arrive late but in order.
+/// A connection that delays messages but preserves their order.
 class ordered_link {
   public:
     ordered_link(event_queue& queue, base::random_source& random)
@@ -51,7 +51,7 @@
     void resume(const base::attempt_id& attempt, std::uint64_t from, receiver to);
     void cancel(const base::attempt_id& attempt, receiver to);
     void release(const base::program_id& program, receiver to);
-    /// Loses all streams and all memory.
+    /// Drops all streams and all cached state.
     void crash();
     std::set<base::program_id> holdings() const;
 
@@ -72,7 +72,7 @@
     void produce(const base::attempt_id& attempt, std::uint64_t epoch);
     void pump(const base::attempt_id& attempt);
     wire::token_usage usage_of(const stream& of) const;
-    void answer(receiver to, program::shard_event event);
+    void send_reply(receiver to, program::shard_event event);
     std::shared_ptr<ordered_link> new_link();
 
     event_queue& queue_;
@@ -85,13 +85,13 @@
     std::set<base::program_id> pinned_;
 };
 
-/// How much a tool service knows of the keys that it was sent.
+/// The state that a tool service keeps about received idempotency keys.
 enum class tool_memory {
-    /// Runs a key once, answers queries, and refuses a key after the answer "never seen".
+    /// Executes a key once, replies to queries, and refuses a key after it replied "never seen".
     full,
-    /// Answers queries, but cannot refuse a key; runs whatever arrives.
+    /// Replies to queries but cannot refuse a key; executes every request.
     remembers,
-    /// Knows nothing and runs whatever arrives.
+    /// Keeps no state and executes every request.
     none,
 };
 
@@ -110,7 +110,7 @@
 
     void run(const program::action::start_tool_attempt& request, const wire::tool_call& body,
              receiver to);
-    void answer(receiver to, program::shard_event event);
+    void send_reply(receiver to, program::shard_event event);
 
     event_queue& queue_;
     base::random_source& random_;
--- a/tests/simulation/program/model_journal.cc
+++ b/tests/simulation/program/model_journal.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t longest_delay_us = 4'000;
+constexpr std::uint64_t max_delay_us = 4'000;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 base::instant model_journal::arrival() {
     const base::instant sent = std::max(queue_.now(), blocked_until_);
     last_arrival_ = std::max(last_arrival_ + base::microseconds(1),
-                             sent + base::microseconds(random_.below(longest_delay_us)));
+                             sent + base::microseconds(random_.below(max_delay_us)));
     return last_arrival_;
 }
 
@@ -33,9 +33,9 @@
         if (current) {
             log_.push_back(record);
         }
-        last_answer_ = std::max(last_answer_ + base::microseconds(1),
-                                queue_.now() + base::microseconds(random_.below(longest_delay_us)));
-        queue_.at(last_answer_, [current, done] { done(current); });
+        last_reply_time_ = std::max(last_reply_time_ + base::microseconds(1),
+                                    queue_.now() + base::microseconds(random_.below(max_delay_us)));
+        queue_.at(last_reply_time_, [current, done] { done(current); });
     });
 }
 
--- a/tests/simulation/program/model_journal.h
+++ b/tests/simulation/program/model_journal.h
@@ -1,5 +1,5 @@
-/// A shard's replicated journal, seen from outside: appends become durable after a delay, terms
-/// fence each other, answers can be lost with the owner that waits for them.
+/// A model of a shard's replicated journal: appends become durable after a delay, a new term fences
+/// the earlier ones, and replies are lost if the owner that waits for them is lost.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
         std::string payload;
         std::string key;
     };
-    /// What a new owner starts from.
+    /// The state from which a new owner starts.
     struct recovery {
         std::uint64_t term = 0;
         std::string snapshot;
@@ -28,18 +28,19 @@
     model_journal(event_queue& queue, base::random_source& random)
         : queue_(queue), random_(random) {}
 
-    /// Fences every earlier term.
+    /// Opens a new term and fences every earlier one.
     recovery open_term();
     std::uint64_t term() const { return term_; }
-    /// `done(true)` once durable; `done(false)` when the term is fenced. In order.
+    /// Calls `done(true)` once the record is durable, or `done(false)` if the term is fenced. The
+    /// calls are made in order.
     void append(std::uint64_t term, entry record, std::function<void(bool)> done);
-    /// Whether `term` is still the newest, asked of a majority.
+    /// Reports whether a majority confirms that `term` is still the newest.
     void confirm(std::uint64_t term, std::function<void(bool)> done);
     std::vector<std::string> retained(const std::string& prefix) const;
     void drop(const std::string& prefix);
     /// Replaces the first `through` records of `term` and everything before that term.
     void snapshot(std::uint64_t term, std::uint64_t through, std::string payload);
-    /// No majority until `until`.
+    /// Makes the majority unavailable until `until`.
     void block(base::instant until) { blocked_until_ = until; }
 
   private:
@@ -50,9 +51,9 @@
     std::uint64_t term_ = 0;
     base::instant blocked_until_{};
     base::instant last_arrival_{};
-    base::instant last_answer_{};
+    base::instant last_reply_time_{};
     std::vector<entry> log_;
-    /// Index in `log_` at which the present term began, and at which replay begins.
+    /// Indexes in `log_` at which the current term and the replay start.
     std::size_t term_begin_ = 0;
     std::size_t replay_begin_ = 0;
     std::string snapshot_;
--- a/tests/simulation/program/owner_node.cc
+++ b/tests/simulation/program/owner_node.cc
@@ -13,9 +13,9 @@
 constexpr double refuse_chance = 0.01;
 constexpr double lose_offer_chance = 0.05;
 constexpr double pause_between_actions_chance = 0.0005;
-constexpr std::uint64_t longest_pause_ms = 4'000;
+constexpr std::uint64_t max_pause_ms = 4'000;
 constexpr double repeat_message_chance = 0.3;
-constexpr std::uint64_t longest_repeat_ms = 3'000;
+constexpr std::uint64_t max_repeat_delay_ms = 3'000;
 
 absl::Status owner_lost() {
     return base::make_error(
@@ -43,8 +43,7 @@
             outbox_.pop_front();
             perform(next);
             if (world_.random.chance(pause_between_actions_chance)) {
-                pause(world_.queue.now() +
-                      base::milliseconds(world_.random.below(longest_pause_ms)));
+                pause(world_.queue.now() + base::milliseconds(world_.random.below(max_pause_ms)));
             }
             continue;
         }
@@ -80,7 +79,7 @@
     world_.queue.after(tick_interval, [self = shared_from_this()] { self->keep_ticking(); });
 }
 
-void owner_node::request(const wire::program_request& request, answer_callbacks callbacks) {
+void owner_node::request(const wire::program_request& request, reply_callbacks callbacks) {
     if (!alive_) {
         callbacks.on_done(owner_lost());
         return;
@@ -115,14 +114,14 @@
 }
 
 void owner_node::finish(program::reply_token token,
-                        const absl::StatusOr<wire::program_reply>& answer) {
+                        const absl::StatusOr<wire::program_reply>& reply) {
     const auto found = callers_.find(token);
     if (found == callers_.end()) {
         return;
     }
-    const answer_callbacks caller = std::move(found->second);
+    const reply_callbacks caller = std::move(found->second);
     callers_.erase(found);
-    world_.queue.after(world_.network_delay(), [caller, answer] { caller.on_done(answer); });
+    world_.queue.after(world_.network_delay(), [caller, reply] { caller.on_done(reply); });
 }
 
 void owner_node::perform(const program::shard_action& action) {
@@ -142,7 +141,7 @@
 }
 
 void owner_node::perform(const action::reply_part& action) {
-    // Parts and the final answer share a connection: the final answer comes last.
+    // Parts and the final reply share a connection, so the final reply arrives last.
     const auto caller = callers_.find(action.token);
     if (caller != callers_.end()) {
         caller->second.on_part(action.part);
@@ -172,11 +171,11 @@
 }
 
 void owner_node::perform(const action::offer_call& action) {
-    program::shard_event answer;
+    program::shard_event reply;
     if (world_.random.chance(lose_offer_chance)) {
-        answer = event::placement_lost{action.offer};
+        reply = event::placement_lost{action.offer};
     } else if (world_.random.chance(refuse_chance)) {
-        answer = event::placement_refused{
+        reply = event::placement_refused{
             action.offer,
             base::make_error(absl::StatusCode::kResourceExhausted, "no room",
                              {.step = "place", .reason = "no_room"}),
@@ -184,10 +183,10 @@
     } else {
         const base::backend_id backend =
             action.call.tool ? world_.tool_for(*action.call.tool) : world_.any_engine();
-        answer = event::placement_granted{action.offer, backend, "granted"};
+        reply = event::placement_granted{action.offer, backend, "granted"};
     }
     world_.queue.after(world_.network_delay(),
-                       [self = shared_from_this(), answer] { self->deliver(answer); });
+                       [self = shared_from_this(), reply] { self->deliver(reply); });
 }
 
 void owner_node::perform(const action::start_model_attempt& action) {
@@ -224,7 +223,7 @@
 
 void owner_node::perform(const action::send_to_owner& action) {
     if_leader(action.confirm, [self = shared_from_this(), action] {
-        const answer_callbacks callbacks{
+        const reply_callbacks callbacks{
             [](const wire::reply_part&) {},
             [self, action](const absl::StatusOr<wire::program_reply>& reply) {
                 self->deliver(event::owner_answered{action.exchange, reply});
@@ -232,7 +231,7 @@
         self->world_.send(action.request, callbacks);
         if (self->world_.random.chance(repeat_message_chance)) {
             self->world_.queue.after(
-                base::milliseconds(self->world_.random.below(longest_repeat_ms)),
+                base::milliseconds(self->world_.random.below(max_repeat_delay_ms)),
                 [self, action, callbacks] { self->world_.send(action.request, callbacks); });
         }
     });
--- a/tests/simulation/program/program_caller.cc
+++ b/tests/simulation/program/program_caller.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr base::milliseconds patience{4'000};
-constexpr std::uint64_t longest_think_us = 400'000;
+constexpr base::milliseconds reply_timeout{4'000};
+constexpr std::uint64_t max_think_us = 400'000;
 constexpr std::uint64_t call_deadline_ms = 15'000;
 
-/// Answers after which the same numbered request may be sent again.
-bool may_be_repeated(const std::string& reason) {
+/// Returns whether the same numbered request may be sent again after this error.
+bool is_retryable(const std::string& reason) {
     return reason == "owner_lost" || reason == "not_owner" || reason == "no_quorum" ||
            reason == "call_number_gap" || reason == "timed_out";
 }
@@ -22,28 +22,28 @@
     return reason != "owner_lost" && reason != "no_quorum" && reason != "timed_out";
 }
 
-wire::call_body draw_model_call(program_world& world, const base::program_id& program) {
-    constexpr std::uint64_t most_tokens = 20;
+wire::call_body random_model_call(program_world& world, const base::program_id& program) {
+    constexpr std::uint64_t max_tokens = 20;
     wire::call_body body;
     const std::string content =
         fmt::format("{} says {}", program.value(), world.random.below(1'000'000));
     body.model =
         wire::model_call{.model = base::model_name("model"),
                          .new_messages = {{.role = "user", .content = content, .name = {}}},
-                         .max_output_tokens = 1 + world.random.below(most_tokens),
+                         .max_output_tokens = 1 + world.random.below(max_tokens),
                          .parameters_json = {}};
     return body;
 }
 
-wire::call_body draw_tool_call(program_world& world, const base::program_id& program) {
+wire::call_body random_tool_call(program_world& world, const base::program_id& program) {
     static const std::vector<std::string> names{"full", "remembers", "none"};
-    constexpr std::uint64_t most_cost = 60;
+    constexpr std::uint64_t max_cost = 60;
     wire::call_body body;
     wire::tool_call call;
     call.tool = base::tool_name(names[world.random.below(names.size())]);
     call.arguments_json = fmt::format("{} {}", program.value(), world.random.hex_id());
     call.repeatable = world.random.chance(0.3);
-    call.declared_cost = world.random.below(most_cost);
+    call.declared_cost = world.random.below(max_cost);
     world.tool_bodies[call.arguments_json] = call;
     body.tool = call;
     return body;
@@ -51,30 +51,31 @@
 
 }  // namespace
 
-program_plan draw_plan(program_world& world, const base::program_id& program, bool may_have_child) {
-    constexpr std::uint64_t most_calls = 10;
+program_plan random_plan(program_world& world, const base::program_id& program,
+                         bool may_have_child) {
+    constexpr std::uint64_t max_calls = 10;
     constexpr std::uint64_t calls_to_spend_all = 40;
     constexpr std::uint64_t tight_budget = 400;
     constexpr std::uint64_t wide_budget = 4'000;
-    constexpr std::uint64_t least_budget = 100;
+    constexpr std::uint64_t min_budget = 100;
     base::random_source& random = world.random;
     program_plan plan;
     plan.program = program;
     plan.tenant = base::tenant_id(random.chance(0.5) ? "cellar" : "market");
-    plan.budget = least_budget + random.below(random.chance(0.5) ? tight_budget : wide_budget);
+    plan.budget = min_budget + random.below(random.chance(0.5) ? tight_budget : wide_budget);
     const bool spends_all = random.chance(0.15);
-    const std::uint64_t calls = spends_all ? calls_to_spend_all : 1 + random.below(most_calls);
+    const std::uint64_t calls = spends_all ? calls_to_spend_all : 1 + random.below(max_calls);
     for (std::uint64_t i = 0; i < calls; ++i) {
         const bool tool = random.chance(spends_all ? 0.9 : 0.4);
-        plan.calls.push_back(tool ? draw_tool_call(world, program)
-                                  : draw_model_call(world, program));
+        plan.calls.push_back(tool ? random_tool_call(world, program)
+                                  : random_model_call(world, program));
     }
     plan.window = 1 + random.below(3);
     plan.cancel_chance = random.chance(0.3) ? 0.2 : 0;
     plan.twice_chance = random.chance(0.5) ? 0.3 : 0;
     if (may_have_child && random.chance(0.4)) {
         plan.child = std::make_shared<program_plan>(
-            draw_plan(world, base::program_id(program.value() + "c"), false));
+            random_plan(world, base::program_id(program.value() + "c"), false));
         plan.child->tenant = plan.tenant;
         plan.child->budget = 1 + random.below(plan.budget);
         plan.wait_for_child = random.chance(0.7);
@@ -93,7 +94,7 @@
     return request;
 }
 
-call_answers& program_caller::answers(std::uint64_t index) {
+call_replies& program_caller::replies(std::uint64_t index) {
     return world_.history.calls[{plan_.program, base::call_number(index + 1)}];
 }
 
@@ -101,7 +102,7 @@
                              std::function<void(const absl::StatusOr<wire::program_reply>&)> done) {
     const auto over = std::make_shared<bool>(false);
     const auto again = [self = shared_from_this(), request, done] { self->persist(request, done); };
-    world_.queue.after(patience, [over, again] {
+    world_.queue.after(reply_timeout, [over, again] {
         if (!std::exchange(*over, true)) {
             again();
         }
@@ -112,7 +113,7 @@
                      if (std::exchange(*over, true)) {
                          return;
                      }
-                     if (!reply.ok() && may_be_repeated(base::details_of(reply.status()).reason)) {
+                     if (!reply.ok() && is_retryable(base::details_of(reply.status()).reason)) {
                          self->world_.queue.after(self->world_.network_delay(), again);
                          return;
                      }
@@ -158,13 +159,13 @@
     window_end_ = std::min<std::uint64_t>(window_begin_ + plan_.window, plan_.calls.size());
     for (std::uint64_t index = window_begin_; index < window_end_; ++index) {
         concluded_[index] = false;
-        world_.queue.after(base::microseconds(world_.random.below(longest_think_us)),
+        world_.queue.after(base::microseconds(world_.random.below(max_think_us)),
                            [self = shared_from_this(), index] { self->submit(index); });
     }
 }
 
 void program_caller::submit(std::uint64_t index) {
-    answers(index).body = plan_.calls[index];
+    replies(index).body = plan_.calls[index];
     send_submit(index);
     if (world_.random.chance(plan_.twice_chance)) {
         send_submit(index);
@@ -186,10 +187,10 @@
                                                .stream = true,
                                                .deadline_ms = call_deadline_ms,
                                                .last_event_id = reader->last_event_id};
-    ++answers(index).requests;
-    // Answered, or repeated by the timer: either way it must not be repeated a second time.
+    ++replies(index).requests;
+    // Set by the reply or by the timer, so that the request is repeated at most once.
     const auto settled = std::make_shared<bool>(false);
-    world_.queue.after(patience + base::microseconds(world_.random.below(longest_think_us)),
+    world_.queue.after(reply_timeout + base::microseconds(world_.random.below(max_think_us)),
                        [self = shared_from_this(), index, settled] {
                            if (!std::exchange(*settled, true)) {
                                self->send_submit(index);
@@ -202,26 +203,26 @@
                           },
                           [self = shared_from_this(), index, reader, settled](const auto& reply) {
                               const bool repeated = std::exchange(*settled, true);
-                              self->on_answer(index, *reader, reply, repeated);
+                              self->on_reply(index, *reader, reply, repeated);
                           }});
 }
 
-void program_caller::on_answer(std::uint64_t index, const reading& reader,
-                               const absl::StatusOr<wire::program_reply>& reply, bool repeated) {
+void program_caller::on_reply(std::uint64_t index, const reading& reader,
+                              const absl::StatusOr<wire::program_reply>& reply, bool repeated) {
     if (reply.ok()) {
         on_success(index, reader, *reply->call);
         return;
     }
     const base::error_details details = base::details_of(reply.status());
     if (is_definite(details.reason)) {
-        ++answers(index).definite;
-        answers(index).errors.push_back({details.reason, details.was_executed});
+        ++replies(index).definite;
+        replies(index).errors.push_back({details.reason, details.was_executed});
     }
-    if (may_be_repeated(details.reason)) {
+    if (is_retryable(details.reason)) {
         if (repeated) {
             return;
         }
-        world_.queue.after(base::microseconds(world_.random.below(longest_think_us)),
+        world_.queue.after(base::microseconds(world_.random.below(max_think_us)),
                            [self = shared_from_this(), index] { self->send_submit(index); });
         return;
     }
@@ -231,7 +232,7 @@
 
 void program_caller::on_success(std::uint64_t index, const reading& reader,
                                 const wire::call_result& result) {
-    call_answers& known = answers(index);
+    call_replies& known = replies(index);
     ++known.definite;
     known.successes.push_back(result);
     known.streamed.push_back(reader.text);
@@ -255,7 +256,7 @@
 }
 
 void program_caller::cancel_later(std::uint64_t index) {
-    world_.queue.after(base::microseconds(world_.random.below(longest_think_us)),
+    world_.queue.after(base::microseconds(world_.random.below(max_think_us)),
                        [self = shared_from_this(), index] {
                            wire::program_request request = self->blank();
                            request.cancel = wire::cancel_call_request{base::call_number(index + 1)};
@@ -272,7 +273,7 @@
                               const std::string reason =
                                   reply.ok() ? "" : base::details_of(reply.status()).reason;
                               const bool hidden =
-                                  reason == "program_not_found" || may_be_repeated(reason);
+                                  reason == "program_not_found" || is_retryable(reason);
                               self->world_.history.leaks += hidden ? 0 : 1;
                           }});
 }
--- a/tests/simulation/program/program_checker.cc
+++ b/tests/simulation/program/program_checker.cc
@@ -15,14 +15,14 @@
     return fmt::format("{}/{}", call.program.value(), call.number.value());
 }
 
-/// The run that gave the call's answer, or null.
-const model_run* answering_run(const run_history& history, const call_name& call) {
-    const auto answers = history.calls.find(call);
-    if (answers == history.calls.end() || answers->second.successes.empty()) {
+/// Returns the execution that produced the call's result, or null.
+const model_execution* execution_of_result(const run_history& history, const call_name& call) {
+    const auto replies = history.calls.find(call);
+    if (replies == history.calls.end() || replies->second.successes.empty()) {
         return nullptr;
     }
-    const wire::call_result& result = answers->second.successes.front();
-    for (const model_run& run : history.model_runs) {
+    const wire::call_result& result = replies->second.successes.front();
+    for (const model_execution& run : history.model_executions) {
         if (run.call == call && run.text == result.output) {
             return &run;
         }
@@ -30,24 +30,24 @@
     return nullptr;
 }
 
-std::vector<wire::chat_message> turn_of(const call_answers& answers) {
-    const std::string& output = answers.successes.front().output;
-    if (answers.body.tool) {
-        return {{.role = "tool", .content = output, .name = answers.body.tool->tool.value()}};
+std::vector<wire::chat_message> turn_of(const call_replies& replies) {
+    const std::string& output = replies.successes.front().output;
+    if (replies.body.tool) {
+        return {{.role = "tool", .content = output, .name = replies.body.tool->tool.value()}};
     }
-    std::vector<wire::chat_message> turn = answers.body.model->new_messages;
+    std::vector<wire::chat_message> turn = replies.body.model->new_messages;
     turn.push_back({.role = "assistant", .content = output, .name = {}});
     return turn;
 }
 
-/// The conversation as the callers know it, before call `before`.
+/// Returns the conversation before call `before`, as the callers received it.
 std::vector<wire::chat_message> conversation(const run_history& history,
                                              const base::program_id& program,
                                              base::call_number before) {
     std::vector<wire::chat_message> messages;
-    for (const auto& [call, answers] : history.calls) {
-        if (call.program == program && call.number < before && !answers.successes.empty()) {
-            for (const wire::chat_message& message : turn_of(answers)) {
+    for (const auto& [call, replies] : history.calls) {
+        if (call.program == program && call.number < before && !replies.successes.empty()) {
+            for (const wire::chat_message& message : turn_of(replies)) {
                 messages.push_back(message);
             }
         }
@@ -55,17 +55,17 @@
     return messages;
 }
 
-/// When the call that was answered well ran; calls without a success have no place in the order.
+/// Returns the start time of a successful call. Calls without a success are not ordered.
 std::optional<base::instant> start_of(const run_history& history, const call_name& call,
-                                      const call_answers& answers) {
-    if (answers.successes.empty()) {
+                                      const call_replies& replies) {
+    if (replies.successes.empty()) {
         return std::nullopt;
     }
-    if (answers.body.model) {
-        const model_run* run = answering_run(history, call);
+    if (replies.body.model) {
+        const model_execution* run = execution_of_result(history, call);
         return run == nullptr ? std::nullopt : std::optional(run->started);
     }
-    for (const tool_run& run : history.tool_runs) {
+    for (const tool_execution& run : history.tool_executions) {
         if (run.call == call) {
             return run.started;
         }
@@ -76,13 +76,14 @@
 void check_order(const run_history& history, violations& found) {
     const call_name* previous = nullptr;
     base::instant previous_start{};
-    for (const auto& [call, answers] : history.calls) {
-        const auto start = start_of(history, call, answers);
+    for (const auto& [call, replies] : history.calls) {
+        const auto start = start_of(history, call, replies);
         if (!start) {
             continue;
         }
         if (previous != nullptr && previous->program == call.program && *start < previous_start) {
-            found.push_back({1, fmt::format("{} ran before {}", show(call), show(*previous))});
+            found.push_back(
+                {1, fmt::format("{} was executed before {}", show(call), show(*previous))});
         }
         previous = &call;
         previous_start = *start;
@@ -90,16 +91,17 @@
 }
 
 void check_histories(const run_history& history, violations& found) {
-    for (const auto& [call, answers] : history.calls) {
-        const model_run* run = answers.body.model ? answering_run(history, call) : nullptr;
+    for (const auto& [call, replies] : history.calls) {
+        const model_execution* run =
+            replies.body.model ? execution_of_result(history, call) : nullptr;
         if (run == nullptr) {
             continue;
         }
         auto expected = conversation(history, call.program, call.number);
-        const auto& added = answers.body.model->new_messages;
+        const auto& added = replies.body.model->new_messages;
         expected.insert(expected.end(), added.begin(), added.end());
         if (run->messages != expected) {
-            found.push_back({2, fmt::format("{} was prompted with {} messages instead of {}",
+            found.push_back({2, fmt::format("{} had a prompt of {} messages instead of {}",
                                             show(call), run->messages.size(), expected.size())});
         }
     }
@@ -111,16 +113,16 @@
         }
     }
     if (history.leaks > 0) {
-        found.push_back({2, "another tenant was shown a program"});
+        found.push_back({2, "another tenant could read a program"});
     }
 }
 
 void check_budgets(const run_history& history, violations& found) {
     std::map<base::program_id, std::uint64_t> spent;
-    for (const model_run& run : history.model_runs) {
+    for (const model_execution& run : history.model_executions) {
         spent[run.call.program] += run.prompt_tokens + run.generated_tokens;
     }
-    for (const tool_run& run : history.tool_runs) {
+    for (const tool_execution& run : history.tool_executions) {
         spent[run.call.program] += run.cost;
     }
     std::map<base::program_id, std::uint64_t> with_children = spent;
@@ -138,68 +140,73 @@
 }
 
 void check_released(const run_history& history, violations& found) {
-    for (const base::program_id& program : history.left_in_engines) {
-        found.push_back({4, fmt::format("an engine still holds {}", program.value())});
+    for (const base::program_id& program : history.cached_at_end) {
+        found.push_back({4, fmt::format("an engine still caches {}", program.value())});
     }
 }
 
-void check_answers(const run_history& history, violations& found) {
-    for (const auto& [call, answers] : history.calls) {
-        for (std::size_t i = 0; i < answers.successes.size(); ++i) {
-            const wire::call_result& result = answers.successes[i];
-            if (result.number != call.number || result.output != answers.successes.front().output) {
-                found.push_back({5, fmt::format("{} has two answers", show(call))});
+void check_replies(const run_history& history, violations& found) {
+    for (const auto& [call, replies] : history.calls) {
+        for (std::size_t i = 0; i < replies.successes.size(); ++i) {
+            const wire::call_result& result = replies.successes[i];
+            if (result.number != call.number || result.output != replies.successes.front().output) {
+                found.push_back({5, fmt::format("{} has two different results", show(call))});
             }
-            if (answers.streamed[i] != result.output) {
-                found.push_back({5, fmt::format("{} was streamed '{}' for '{}'", show(call),
-                                                answers.streamed[i], result.output)});
+            if (replies.streamed[i] != result.output) {
+                found.push_back({5, fmt::format("the streamed text of {} is '{}' instead of '{}'",
+                                                show(call), replies.streamed[i], result.output)});
             }
         }
-        const bool of_model = answers.body.model && !answers.successes.empty();
-        if (of_model && answering_run(history, call) == nullptr) {
-            found.push_back({5, fmt::format("no engine gave the answer of {}", show(call))});
+        const bool of_model = replies.body.model && !replies.successes.empty();
+        if (of_model && execution_of_result(history, call) == nullptr) {
+            found.push_back({5, fmt::format("no engine produced the result of {}", show(call))});
         }
     }
 }
 
-bool ran(const run_history& history, const call_name& call) {
-    const auto is_it = [&](const auto& run) { return run.call == call; };
-    return std::any_of(history.model_runs.begin(), history.model_runs.end(), is_it) ||
-           std::any_of(history.tool_runs.begin(), history.tool_runs.end(), is_it);
+bool was_executed(const run_history& history, const call_name& call) {
+    const auto is_of_call = [&](const auto& run) { return run.call == call; };
+    return std::any_of(history.model_executions.begin(), history.model_executions.end(),
+                       is_of_call) ||
+           std::any_of(history.tool_executions.begin(), history.tool_executions.end(), is_of_call);
 }
 
-void check_not_run(const run_history& history, violations& found) {
-    for (const auto& [call, answers] : history.calls) {
-        const bool all_definite = answers.definite == answers.requests;
-        const bool all_no = std::all_of(
-            answers.errors.begin(), answers.errors.end(),
-            [](const error_answer& error) { return error.executed == base::executed::no; });
-        const bool told_no = answers.successes.empty() && !answers.errors.empty() && all_no;
-        // These end a call for good: whatever happened to other requests, it must not have run.
-        const auto is_final_no = [](const error_answer& error) {
+void check_not_executed(const run_history& history, violations& found) {
+    for (const auto& [call, replies] : history.calls) {
+        const bool all_definite = replies.definite == replies.requests;
+        const bool all_not_executed = std::all_of(
+            replies.errors.begin(), replies.errors.end(),
+            [](const error_reply& error) { return error.executed == base::executed::no; });
+        const bool reported_not_executed =
+            replies.successes.empty() && !replies.errors.empty() && all_not_executed;
+        // These errors are final: the call must not have been executed, whatever the replies to
+        // other requests were.
+        const auto is_final_not_executed = [](const error_reply& error) {
             return error.executed == base::executed::no &&
                    (error.reason == "not_delivered" || error.reason == "deadline_exceeded" ||
                     error.reason == "cancelled" || error.reason == "budget_exhausted");
         };
-        const bool final_no =
-            std::any_of(answers.errors.begin(), answers.errors.end(), is_final_no);
-        if (((all_definite && told_no) || final_no) && ran(history, call)) {
-            found.push_back({6, fmt::format("{} was answered as not run, but ran", show(call))});
+        const bool final_not_executed =
+            std::any_of(replies.errors.begin(), replies.errors.end(), is_final_not_executed);
+        if (((all_definite && reported_not_executed) || final_not_executed) &&
+            was_executed(history, call)) {
+            found.push_back(
+                {6, fmt::format("{} was reported as not executed, but was executed", show(call))});
         }
     }
 }
 
 void check_at_most_once(const run_history& history, violations& found) {
     std::map<call_name, std::uint64_t> runs;
-    for (const tool_run& run : history.tool_runs) {
+    for (const tool_execution& run : history.tool_executions) {
         if (!run.repeatable && ++runs[run.call] == 2) {
-            found.push_back({7, fmt::format("{} ran more than once", show(run.call))});
+            found.push_back({7, fmt::format("{} was executed more than once", show(run.call))});
         }
     }
-    for (const auto& [call, answers] : history.calls) {
-        const bool success = answers.body.tool && !answers.successes.empty();
-        if (success && !ran(history, call)) {
-            found.push_back({7, fmt::format("{} succeeded without having run", show(call))});
+    for (const auto& [call, replies] : history.calls) {
+        const bool success = replies.body.tool && !replies.successes.empty();
+        if (success && !was_executed(history, call)) {
+            found.push_back({7, fmt::format("{} succeeded without an execution", show(call))});
         }
     }
 }
@@ -218,8 +225,8 @@
     check_histories(history, found);
     check_budgets(history, found);
     check_released(history, found);
-    check_answers(history, found);
-    check_not_run(history, found);
+    check_replies(history, found);
+    check_not_executed(history, found);
     check_at_most_once(history, found);
     return found;
 }
--- a/tests/simulation/program/program_simulation.cc
+++ b/tests/simulation/program/program_simulation.cc
@@ -1,5 +1,5 @@
-// Runs seeds of the simulation: program_simulation FIRST [LAST]. Prints each violation with its
-// seed; a seed replays exactly.
+// Runs the simulation with a range of seeds: program_simulation FIRST [LAST]. It prints each
+// violation with its seed. A run with the same seed is identical.
 #include <cstdlib>
 #include <iostream>
 #include <string>
--- a/tests/simulation/program/program_world.cc
+++ b/tests/simulation/program/program_world.cc
@@ -13,11 +13,11 @@
 
 constexpr std::size_t shard_count = 2;
 constexpr std::size_t engine_count = 3;
-constexpr std::uint64_t longest_delay_us = 10'000;
-constexpr std::uint64_t longest_recovery_us = 400'000;
-constexpr std::uint64_t longest_fault_gap_ms = 2'500;
-constexpr std::uint64_t longest_pause_ms = 5'000;
-constexpr std::uint64_t longest_block_ms = 3'000;
+constexpr std::uint64_t max_delay_us = 10'000;
+constexpr std::uint64_t max_recovery_us = 400'000;
+constexpr std::uint64_t max_fault_interval_ms = 2'500;
+constexpr std::uint64_t max_pause_ms = 5'000;
+constexpr std::uint64_t max_block_ms = 3'000;
 constexpr double stale_route_chance = 0.1;
 constexpr base::seconds time_limit{400};
 constexpr base::seconds settle_time{40};
@@ -46,7 +46,7 @@
 program_world::~program_world() = default;
 
 base::microseconds program_world::network_delay() {
-    return base::microseconds(random.below(longest_delay_us));
+    return base::microseconds(random.below(max_delay_us));
 }
 
 std::size_t program_world::shard_of(const base::program_id& program) const {
@@ -63,7 +63,7 @@
     return base::backend_id(tool.value());
 }
 
-void program_world::send(const wire::program_request& request, answer_callbacks callbacks) {
+void program_world::send(const wire::program_request& request, reply_callbacks callbacks) {
     queue.after(network_delay(), [this, request, callbacks] {
         const auto& nodes = nodes_[shard_of(wire::routing_program(request))];
         if (nodes.empty()) {
@@ -77,20 +77,20 @@
     });
 }
 
-void program_world::take_over(std::size_t shard, fate of_the_old) {
+void program_world::take_over(std::size_t shard, fate old_owner_fate) {
     auto& nodes = nodes_[shard];
     if (!nodes.empty()) {
         const auto old = nodes.back();
-        if (of_the_old == fate::crash) {
+        if (old_owner_fate == fate::crash) {
             old->crash();
-        } else if (of_the_old == fate::pause) {
-            old->pause(queue.now() + base::milliseconds(random.below(longest_pause_ms)));
+        } else if (old_owner_fate == fate::pause) {
+            old->pause(queue.now() + base::milliseconds(random.below(max_pause_ms)));
         }
     }
-    queue.after(base::microseconds(random.below(longest_recovery_us)), [this, shard, of_the_old] {
+    queue.after(base::microseconds(random.below(max_recovery_us)), [this, shard, old_owner_fate] {
         auto& owners = nodes_[shard];
         const model_journal::recovery found = journals[shard]->open_term();
-        if (of_the_old == fate::hand_over && !owners.empty()) {
+        if (old_owner_fate == fate::hand_over && !owners.empty()) {
             owners.back()->deliver(program::event::ownership_lost{});
         }
         const auto node = std::make_shared<owner_node>(*this, shard, found.term);
@@ -101,7 +101,7 @@
 }
 
 void program_world::schedule_fault() {
-    queue.after(base::milliseconds(random.below(longest_fault_gap_ms)), [this] {
+    queue.after(base::milliseconds(random.below(max_fault_interval_ms)), [this] {
         if (queue.now() < base::instant(options.fault_time)) {
             inject_fault();
             schedule_fault();
@@ -125,8 +125,7 @@
             engines.at(any_engine())->crash();
             break;
         default:
-            journals[shard]->block(queue.now() +
-                                   base::milliseconds(random.below(longest_block_ms)));
+            journals[shard]->block(queue.now() + base::milliseconds(random.below(max_block_ms)));
             break;
     }
 }
@@ -143,7 +142,7 @@
     }
     for (std::uint64_t i = 0; i < options.programs; ++i) {
         const base::program_id program(fmt::format("p{}", i));
-        std::make_shared<program_caller>(*this, draw_plan(*this, program, true))->start();
+        std::make_shared<program_caller>(*this, random_plan(*this, program, true))->start();
     }
     schedule_fault();
     std::optional<base::instant> callers_done;
@@ -161,7 +160,7 @@
     history.unfinished_callers = running_callers;
     for (const auto& [id, engine] : engines) {
         for (const base::program_id& program : engine->holdings()) {
-            history.left_in_engines.insert(program);
+            history.cached_at_end.insert(program);
         }
     }
     for (auto& nodes : nodes_) {
--- a/tests/simulation/program/program_world.h
+++ b/tests/simulation/program/program_world.h
@@ -1,4 +1,4 @@
-/// Two shards of program owners over modelled journals, engines and tools, with faults.
+/// Simulates two shards of program owners with model journals, engines, tools and faults.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 struct world_options {
     std::uint64_t seed = 1;
     program::owner_options owner;
-    /// Shells confirm the leadership where an action asks for it. False only in tests.
+    /// Whether shells confirm the leadership when an action requires it. False only in tests.
     bool confirm_leadership = true;
     backend_faults backends;
     std::uint64_t programs = 5;
@@ -31,21 +31,21 @@
 };
 
 /// Callbacks of one request of a caller.
-struct answer_callbacks {
+struct reply_callbacks {
     std::function<void(const wire::reply_part&)> on_part;
     std::function<void(const absl::StatusOr<wire::program_reply>&)> on_done;
 };
 
 class program_world;
 
-/// One term of one shard's owner, with the shell around it. Paused, it does nothing, and finishes
-/// what it was about to do when it wakes.
+/// One term of one shard's owner, with its shell. A paused node executes nothing; it continues with
+/// its pending actions when the pause ends.
 class owner_node : public std::enable_shared_from_this<owner_node> {
   public:
     owner_node(program_world& world, std::size_t shard, std::uint64_t term);
 
     void deliver(program::shard_event event);
-    void request(const wire::program_request& request, answer_callbacks callbacks);
+    void request(const wire::program_request& request, reply_callbacks callbacks);
     void pause(base::instant until);
     void crash();
     void keep_ticking();
@@ -71,11 +71,11 @@
     void perform(const program::action::store_snapshot& action);
     void perform(const program::action::journal_unusable& action);
     template <typename Action>
-    void perform(const Action& action) {}  // orders that the modelled back ends need not hear
+    void perform(const Action& action) {}  // actions that the model back ends ignore
 
     /// Runs `act` if the leadership is fresh or a majority confirms it.
     void if_leader(const program::action::leadership& known, std::function<void()> act);
-    void finish(program::reply_token token, const absl::StatusOr<wire::program_reply>& answer);
+    void finish(program::reply_token token, const absl::StatusOr<wire::program_reply>& reply);
     receiver receive();
     void lose_ownership();
 
@@ -87,7 +87,7 @@
     base::instant paused_until_{};
     std::deque<program::shard_event> inbox_;
     std::deque<program::shard_action> outbox_;
-    std::map<program::reply_token, answer_callbacks> callers_;
+    std::map<program::reply_token, reply_callbacks> callers_;
     std::uint64_t last_token_ = 0;
 };
 
@@ -96,11 +96,11 @@
     explicit program_world(world_options options);
     ~program_world();
 
-    /// Runs all callers to their end under faults.
+    /// Runs all callers until they finish, under faults.
     run_history run();
 
-    /// Sends a request to the owner of its program, or to one that was it before.
-    void send(const wire::program_request& request, answer_callbacks callbacks);
+    /// Sends a request to the owner of its program, or to the previous owner.
+    void send(const wire::program_request& request, reply_callbacks callbacks);
 
     // Parts of the world, for nodes and callers.
     event_queue queue;
@@ -110,7 +110,7 @@
     std::vector<std::unique_ptr<model_journal>> journals;
     std::map<base::backend_id, std::unique_ptr<model_engine>> engines;
     std::map<base::backend_id, std::unique_ptr<model_tool>> tools;
-    /// Tool calls' bodies by key, as the request to the tool would carry them.
+    /// Bodies of tool calls by `arguments_json`.
     std::map<std::string, wire::tool_call> tool_bodies;
     std::uint64_t running_callers = 0;
 
@@ -121,7 +121,7 @@
 
   private:
     enum class fate { crash, pause, hand_over };
-    void take_over(std::size_t shard, fate of_the_old);
+    void take_over(std::size_t shard, fate old_owner_fate);
     void schedule_fault();
     void inject_fault();
     bool quiet() const;
--- a/tests/simulation/program/run_history.h
+++ b/tests/simulation/program/run_history.h
@@ -1,4 +1,5 @@
-/// What back ends ran and what callers were told in one simulated run; the checker reads only this.
+/// The executions at back ends and the replies to callers in one simulation. The checker reads only
+/// this.
 #pragma once
 
 #include <cstdint>
@@ -23,8 +24,8 @@
     auto operator<=>(const call_name&) const = default;
 };
 
-/// An attempt that an engine took on.
-struct model_run {
+/// One execution of an attempt at an engine.
+struct model_execution {
     call_name call;
     base::attempt_id attempt;
     std::vector<wire::chat_message> messages;
@@ -35,28 +36,28 @@
 };
 
 /// One execution of a tool.
-struct tool_run {
+struct tool_execution {
     call_name call;
     bool repeatable = false;
     std::uint64_t cost = 0;
     base::instant started{};
 };
 
-struct error_answer {
+struct error_reply {
     std::string reason;
     base::executed executed = base::executed::no;
 };
 
-/// Everything that callers learnt about one call.
-struct call_answers {
+/// All replies that callers received for one call.
+struct call_replies {
     wire::call_body body;
     std::uint64_t requests = 0;
-    /// Requests that got a definite answer: not a time-out, a broken connection or a lost owner.
+    /// Requests that got a definite reply: not a timeout, a broken connection or a lost owner.
     std::uint64_t definite = 0;
     std::vector<wire::call_result> successes;
-    /// For each success, the text that its reader had put together from the parts.
+    /// For each success, the text that its reader assembled from the parts.
     std::vector<std::string> streamed;
-    std::vector<error_answer> errors;
+    std::vector<error_reply> errors;
     std::optional<base::instant> first_success;
 };
 
@@ -69,26 +70,26 @@
 
 struct run_history {
     std::map<base::program_id, opened_program> programs;
-    std::vector<model_run> model_runs;
-    std::vector<tool_run> tool_runs;
-    std::map<call_name, call_answers> calls;
+    std::vector<model_execution> model_executions;
+    std::vector<tool_execution> tool_executions;
+    std::map<call_name, call_replies> calls;
     /// Histories that callers read after the last call.
     std::map<base::program_id, std::vector<wire::chat_message>> histories;
-    /// Probes by another tenant that were answered otherwise than by `program_not_found`.
+    /// Probes by another tenant whose reply was neither `program_not_found` nor a retryable error.
     std::uint64_t leaks = 0;
-    /// Programs in the engines' memory at the end.
-    std::set<base::program_id> left_in_engines;
+    /// Programs that engines still cache at the end.
+    std::set<base::program_id> cached_at_end;
     std::uint64_t unfinished_callers = 0;
     std::uint64_t unusable_journals = 0;
 };
 
 struct violation {
-    /// Row of the invariant in docs/invariants.md; 0: the run itself did not finish.
+    /// Row of the invariant in docs/invariants.md; 0 if the simulation did not finish.
     int invariant = 0;
     std::string what;
 };
 
-/// Checks a finished run. Empty: nothing wrong was found.
+/// Checks a finished simulation. An empty list means that no violation was found.
 std::vector<violation> check(const run_history& history);
 
 }  // namespace pearbarrow::simulation
