--- a/tests/unit/fleet/forwarding_test.cc
+++ b/tests/unit/fleet/forwarding_test.cc
@@ -118,7 +118,7 @@
     cr_assert(run_until(fleet.loop, [&] { return fleet.tool->runs().front().cancelled; }));
 }
 
-Test(forwarding, a_caller_that_leaves_ends_the_run) {
+Test(forwarding, disconnected_caller_cancels_the_execution) {
     fleet_fixture fleet(0, 1);
     fleet.make_ready();
     fleet.tool->set_fault(runner_fault::hang);
--- a/tests/unit/fleet/tenants_test.cc
+++ b/tests/unit/fleet/tenants_test.cc
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-Test(tenants, a_back_end_hears_of_the_tenant_and_never_of_the_key) {
+Test(tenants, back_end_receives_the_tenant_but_not_the_key) {
     tenants_fixture fleet;
     cr_assert(fleet.status_with("r1", {{"Pearbarrow-Key", key_of_a},
                                        {"Pearbarrow-Tenant", "b"},
@@ -112,7 +112,7 @@
     cr_assert(!fleet.tool->runs().front().headers.find("Pearbarrow-Tenant").has_value());
 }
 
-Test(tenants, a_key_that_is_taken_away_opens_nothing_any_more) {
+Test(tenants, revoked_key_is_rejected) {
     tenants_fixture fleet;
     cr_assert(fleet.status_with("r1", {{"Pearbarrow-Key", key_of_b}}) == 200);
     fleet.tenants[1]["api_keys"] = nlohmann::json::array();
@@ -123,7 +123,7 @@
 }
 
 // Guards against using a revoked key: a request may wait for seconds between its attempts.
-Test(tenants, the_key_is_looked_up_again_before_each_attempt) {
+Test(tenants, key_is_checked_before_each_attempt) {
     tenants_fixture fleet;
     auto& other = fleet.add_runner("tool", "i-other");
     cr_assert(run_until(fleet.loop, [&] { return fleet.is_settled(); }));
@@ -141,7 +141,7 @@
     cr_assert(runs() == 1, "sent to %zu", runs());
 }
 
-Test(tenants, another_tenants_turn_is_as_one_that_does_not_exist) {
+Test(tenants, turn_of_another_tenant_is_404) {
     tenants_fixture fleet;
     cr_assert(fleet.turn_of(key_of_a, "t1", "").whole);
     const client_response missing = fleet.turn_of(key_of_b, "t2", "never-was");
@@ -155,7 +155,7 @@
     cr_assert(fleet.model->runs().back().body.find("said t1") == 0);
 }
 
-Test(tenants, two_tenants_programs_of_one_name_have_their_own_budgets) {
+Test(tenants, equal_program_ids_of_two_tenants_have_separate_budgets) {
     tenants_fixture fleet;
     cr_assert(fleet.turn_of(key_of_a, "t1", "").status == 200);
     cr_assert(fleet.turn_of(key_of_a, "t2", "").status == 200);
--- a/tests/unit/fleet/turns_test.cc
+++ b/tests/unit/fleet/turns_test.cc
@@ -34,7 +34,7 @@
     cr_assert(fleet.turn(0, "t1", "never", "hello").status == 503);
 }
 
-Test(turns, the_budget_holds_over_all_edges) {
+Test(turns, budget_applies_across_edges) {
     fleet_fixture fleet;
     fleet.make_ready();
     // Each turn generates 3 events of 10 tokens, and may generate 50 tokens.
@@ -75,7 +75,7 @@
     cr_assert(fleet.model->runs().back().body == "kept i-model-1\ni-model-2\ni-model-3\nmore");
 }
 
-Test(turns, after_a_loss_of_power_and_without_the_store_the_fleet_serves_again) {
+Test(turns, fleet_serves_after_power_failure_without_store) {
     fleet_fixture fleet;
     fleet.make_ready();
     cr_assert(fleet.turn(0, "t1", "", "kept ").whole);
@@ -115,7 +115,7 @@
     cr_assert(fleet.turn(1, "t2", "t1", "more").whole);
 }
 
-Test(turns, a_member_is_emptied_while_turns_go_on) {
+Test(turns, member_is_retired_while_turns_continue) {
     fleet_fixture fleet(4, 2, false);
     fleet.start_everything();
     fleet.make_ready();
@@ -180,7 +180,7 @@
 
 }  // namespace
 
-Test(turns, a_program_of_one_group_goes_on_from_one_of_another) {
+Test(turns, program_continues_a_turn_of_another_group) {
     grouped_fleet_fixture fleet;
     cr_assert(fleet.view().groups == 3);
     cr_assert(fleet.turn_of(fleet.program_in(0), "t1", "", "one ").whole);
@@ -197,7 +197,7 @@
     cr_assert(fleet.model->runs().back().body.find("one i-model-1") == 0);
 }
 
-Test(turns, each_group_bears_the_loss_of_a_member) {
+Test(turns, each_group_tolerates_the_loss_of_a_member) {
     grouped_fleet_fixture fleet;
     for (std::uint32_t group = 0; group < 3; ++group) {
         const std::string name = std::to_string(group);
@@ -212,7 +212,7 @@
     }
 }
 
-Test(turns, an_unknown_turn_is_404_only_while_every_member_of_every_group_answers) {
+Test(turns, unknown_turn_is_404_only_if_all_members_reply) {
     grouped_fleet_fixture fleet;
     cr_assert(fleet.turn_of(fleet.program_in(0), "t1", "never", "hello").status == 404);
     fleet.stop_member_of(2);
--- a/tests/unit/fleet/zone_rules_test.cc
+++ b/tests/unit/fleet/zone_rules_test.cc
@@ -300,7 +300,7 @@
     cr_assert(fleet.tool->runs().empty());
 }
 
-Test(places, a_back_end_in_a_zone_without_a_region_is_not_used_where_regions_bind) {
+Test(places, back_end_without_region_is_excluded_from_restricted_routes) {
     places_fixture fleet;
     fleet.list_in("unknown", "tool", "tool-a", *fleet.tool);
     fleet.list_in("unknown", "tool", "tool-b", *fleet.far_tool);
@@ -310,7 +310,7 @@
     cr_assert(fleet.tool->runs().empty() && fleet.far_tool->runs().empty());
 }
 
-Test(places, turns_are_kept_only_where_all_members_of_their_group_may_hold_them) {
+Test(places, turns_are_stored_only_in_fully_permitted_groups) {
     places_fixture fleet(3, 1);
     fleet.configure_regions(3, {"south"});
     assert_refused(fleet.turn(0, "t1", "", "hello"), "no_permitted_storage");
@@ -322,7 +322,7 @@
     cr_assert(fleet.far_model->runs().empty());
 }
 
-Test(places, a_group_that_lies_partly_elsewhere_keeps_nothing) {
+Test(places, partly_permitted_group_stores_no_turn) {
     places_fixture fleet(3, 1, false);
     fleet.storage_settings[2].zone = "b";
     fleet.start_everything();
--- a/tests/unit/forward/request_facts_test.cc
+++ b/tests/unit/forward/request_facts_test.cc
@@ -116,7 +116,7 @@
 }
 
 // Property test with a fixed seed: no spelling of a reserved header reaches a back end.
-Test(request_facts, no_spelling_brings_a_reserved_header_through) {
+Test(request_facts, reserved_headers_are_removed_in_any_spelling) {
     base::random_source random(4711);
     const header_names names = with_reserved();
     const std::vector<std::string> words{"X-Tenant", "X-Api-Key",         "X-Hold",
--- a/tests/unit/forward/service_backends_test.cc
+++ b/tests/unit/forward/service_backends_test.cc
@@ -212,7 +212,7 @@
 // programs are used, so that the same number of entries is touched at both sizes. With 40 programs,
 // the 10,000 entries (6 MB) do not fit into the processor cache while 1,000 do, which alone makes a
 // selection 3.7 to 4.9 times as slow in 8 of 48 runs under other load.
-Test(service_backends, a_choice_costs_what_it_looks_at) {
+Test(service_backends, selection_cost_does_not_grow_with_fleet_size) {
     const auto time_of_choices = [](std::size_t size, bool is_keyed) {
         choosing_node node("edge-1", "z0", size);
         auto shortest = std::chrono::nanoseconds::max();
--- a/tests/unit/forward/zone_rules_test.cc
+++ b/tests/unit/forward/zone_rules_test.cc
@@ -253,7 +253,7 @@
     cr_assert(node.pool.requests_in_emptied_zones() == 1);
 }
 
-Test(place_check, regions_that_change_while_a_request_waits_bind_it) {
+Test(place_check, region_change_applies_to_waiting_requests) {
     place_fixture node;
     const auto exchange = node.ask();
     cr_assert(node.target_of(0) == "i0");
--- a/tests/unit/net/http_client_test.cc
+++ b/tests/unit/net/http_client_test.cc
@@ -147,7 +147,7 @@
     }
 }
 
-Test(http_client, a_request_that_is_withdrawn_while_its_connection_opens_does_not_go_out) {
+Test(http_client, request_withdrawn_during_connect_is_not_sent) {
     event_loop loop;
     raw_server server;
     const auto client = make_http_client(loop);
@@ -167,7 +167,7 @@
     cr_assert(details.was_executed == base::executed::no);
 }
 
-Test(http_client, a_request_that_is_withdrawn_is_not_sent_again_on_a_new_connection) {
+Test(http_client, withdrawn_request_is_not_retried) {
     event_loop loop;
     raw_server server;
     const auto client = make_http_client(loop);
--- a/tests/unit/net/peer_rpc_test.cc
+++ b/tests/unit/net/peer_rpc_test.cc
@@ -122,7 +122,7 @@
     cr_assert(again.ok(), "%s", again.text().c_str());
 }
 
-Test(peer_rpc, a_caller_that_goes_cancels_its_requests) {
+Test(peer_rpc, destroyed_caller_cancels_its_requests) {
     peer_pair pair;
     call_result call(pair.loop);
     call.start(*pair.client, "server", pair.address(), hold_method, "");
@@ -242,7 +242,7 @@
     cr_assert(pair.client->bytes_received() <= pair.server->bytes_sent());
 }
 
-Test(peer_rpc, bytes_are_counted_by_call_and_by_the_distance_of_the_peer) {
+Test(peer_rpc, traffic_is_counted_by_method_and_distance) {
     const auto in_zone = [](const std::string& node, const std::string& zone) {
         peer_rpc_options options = options_of(node);
         options.zone = zone;
@@ -315,7 +315,7 @@
 
 }  // namespace
 
-Test(peer_rpc, the_first_attempts_at_a_silent_peer_are_short) {
+Test(peer_rpc, first_connect_timeouts_to_unresponsive_peer_are_short) {
     peer_rpc_options options = options_of("client");
     options.connect_timeout = base::milliseconds{3'000};
     options.first_connect_timeout = base::milliseconds{50};
--- a/tests/unit/slowstart/cold_simulation_test.cc
+++ b/tests/unit/slowstart/cold_simulation_test.cc
@@ -609,7 +609,7 @@
 
 }  // namespace
 
-Test(cold_simulation, no_second_holds_more_than_a_cold_back_end_bears, .timeout = 300) {
+Test(cold_simulation, no_second_exceeds_the_cold_rate, .timeout = 300) {
     const outcome result = run_seeds({}, seed_count());
     cr_assert(result.failing == 0, "seed %llu: %llu in a second",
               static_cast<unsigned long long>(result.first_failing),
--- a/tests/unit/tenants/quota_members_test.cc
+++ b/tests/unit/tenants/quota_members_test.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-Test(quota_members, no_zone_holds_two_of_a_tenants_members_where_three_zones_have_any) {
+Test(quota_members, members_are_spread_over_all_zones) {
     for (int a = 1; a <= 6; ++a) {
         for (int b = 1; b <= 6; ++b) {
             for (int c = 0; a + b + c <= 12; ++c) {
--- a/tests/unit/tenants/quota_simulation_test.cc
+++ b/tests/unit/tenants/quota_simulation_test.cc
@@ -294,7 +294,7 @@
 
 }  // namespace
 
-Test(quota_simulation, no_window_ever_holds_more_than_the_limit_allows) {
+Test(quota_simulation, no_window_exceeds_the_limit) {
     for (std::uint64_t seed = 1; seed <= seed_count(); ++seed) {
         simulation fleet(seed, {});
         fleet.run();
--- a/tests/unit/tenants/tenant_table_test.cc
+++ b/tests/unit/tenants/tenant_table_test.cc
@@ -107,7 +107,7 @@
     cr_assert(identify_caller(two_tenants(), 1, "key-of-a", true).tenant->name == "a");
 }
 
-Test(caller_identity, ids_of_two_tenants_never_meet) {
+Test(caller_identity, ids_of_two_tenants_are_distinct) {
     cr_assert(scoped_id("", "t") == "t" && scoped_id("a", "").empty());
     cr_assert(scoped_id("a", "t") != scoped_id("b", "t"));
     cr_assert(scoped_id("a", "b/t") != scoped_id("a/b", "t"));
