--- a/src/pearbarrow/forward/backend_pool.h
+++ b/src/pearbarrow/forward/backend_pool.h
@@ -155,7 +155,7 @@
     /// after the request broke there is the least likely to serve it in time.
     std::set<std::string> excluded;
     /// Zones and regions to which the request may go.
-    places::region_limits place;
+    places::region_limits region_limits;
     /// Cold back ends that rejected a permit for this request. If not empty, a cold back end is
     /// selected only if no other is eligible.
     std::set<std::string> without_permit;
--- a/src/pearbarrow/forward/forwarded_attempt.cc
+++ b/src/pearbarrow/forward/forwarded_attempt.cc
@@ -72,7 +72,7 @@
     placed_ = context_.pool.choose({.service = service_,
                                     .affinity_key = is_stream() ? scoped(facts_.program) : "",
                                     .excluded = tried_backends_,
-                                    .place = placement_bounds(),
+                                    .region_limits = placement_bounds(),
                                     .without_permit = without_permit_,
                                     .prompt_tokens = is_stream() ? facts_.prompt_tokens : 0,
                                     .is_first = begins_program(),
--- a/src/pearbarrow/forward/pool_candidates.cc
+++ b/src/pearbarrow/forward/pool_candidates.cc
@@ -72,7 +72,7 @@
         return is_known && !entry.backend.draining &&
                this->request.excluded.count(entry.backend.id) == 0 &&
                this->request.without_permit.count(entry.backend.id) == 0 &&
-               this->pool.zone_verdict(entry.backend.zone, this->request.place) ==
+               this->pool.zone_verdict(entry.backend.zone, this->request.region_limits) ==
                    places::zone_verdict::permitted;
     }
 
--- a/src/pearbarrow/turns/load_report_exchange.h
+++ b/src/pearbarrow/turns/load_report_exchange.h
@@ -37,7 +37,7 @@
     base::milliseconds poll_interval{100};
     /// Time after which a poll without new reports gets an empty reply.
     base::milliseconds long_poll_timeout{2'000};
-    /// Time that a reply may take beyond `hold` before another member is polled.
+    /// Time that a reply may take beyond `long_poll_timeout` before another member is polled.
     base::milliseconds reply_slack{500};
     /// Delay before the next poll after a failed one.
     base::milliseconds retry_interval{200};
--- a/tests/unit/forward/backend_pool_test.cc
+++ b/tests/unit/forward/backend_pool_test.cc
@@ -226,7 +226,7 @@
         auto chosen = node.pool.choose({.service = "service",
                                         .affinity_key = "program",
                                         .excluded = {},
-                                        .place = {},
+                                        .region_limits = {},
                                         .without_permit = {},
                                         .prompt_tokens = 500,
                                         .is_first = false,
--- a/tests/unit/forward/service_backends_test.cc
+++ b/tests/unit/forward/service_backends_test.cc
@@ -56,7 +56,7 @@
         return this->choose({.service = "model",
                              .affinity_key = program,
                              .excluded = {},
-                             .place = {},
+                             .region_limits = {},
                              .without_permit = {},
                              .prompt_tokens = 500});
     }
@@ -191,7 +191,7 @@
         auto made = node.pool.choose({.service = "model",
                                       .affinity_key = "program-" + std::to_string(program),
                                       .excluded = {},
-                                      .place = {},
+                                      .region_limits = {},
                                       .without_permit = {},
                                       .prompt_tokens = 500,
                                       .is_first = true},
--- a/tests/unit/forward/zone_rules_test.cc
+++ b/tests/unit/forward/zone_rules_test.cc
@@ -301,11 +301,11 @@
     backend_pool checked({.node = "n", .zone = "a"}, random);
     checked.set_zone_rules(rules);
     const base::instant now{std::chrono::seconds(1)};
-    const auto time_of = [&](backend_pool& pool, const places::region_limits& place) {
+    const auto time_of = [&](backend_pool& pool, const places::region_limits& limits) {
         pool.set_backends(two_zones(half), now);
         const auto started_at = std::chrono::steady_clock::now();
         for (int index = 0; index < choices; ++index) {
-            const auto chosen = pool.choose({.service = "tool", .place = place}, now);
+            const auto chosen = pool.choose({.service = "tool", .region_limits = limits}, now);
             pool.on_response_head(chosen->target.incarnation(), now);
             pool.on_attempt_ended(chosen->target.incarnation(), attempt_result::served,
                                   base::microseconds{1}, now);
