--- a/src/pearbarrow/directory/directory_exchange.h
+++ b/src/pearbarrow/directory/directory_exchange.h
@@ -2,11 +2,11 @@
 ///
 /// Protocol: a node keeps one long poll open at each of a few peers, which states the versions it
 /// has. The peer replies as soon as it has something newer, or with an empty update after a
-/// timeout, and the node polls again. A poll also shows what its sender knows: a peer with older
-/// versions sends a request back at once, and a node that has learned of a change repeats its
-/// polls. Each reply names further peers, so the seeds in the settings are enough to start. Updates
-/// from peers are equivalent to those from the directory service itself, so nodes that the service
-/// rejects stay current.
+/// timeout, and the node polls again (a poll of the directory service, `service_watch.h`, does not
+/// wait). A poll also shows what its sender knows: a peer with older versions sends a request back
+/// at once, and a node that has learned of a change repeats its polls. Each reply names further
+/// peers, so the seeds in the settings are enough to start. Updates from peers are equivalent to
+/// those from the directory service, so nodes that the service rejects stay current.
 #pragma once
 
 #include <cstdint>
@@ -27,8 +27,8 @@
 
 namespace pearbarrow::directory {
 
-/// Nodes selected for one number. There are two because one of them may be down, or unknown to
-/// most.
+/// Number of nodes that `is_selected` selects for one number. There are two because one may be
+/// down, or unknown to most nodes.
 inline constexpr std::size_t nodes_per_selection = 2;
 
 /// A long poll for everything that is newer than `known`.
@@ -133,9 +133,9 @@
     /// A poll that this node keeps open at a peer.
     struct open_poll {
         net::endpoint peer;
-        /// The peer was one of the few that this node knew at first. All nodes start with the same
-        /// few peers, and if they kept polling these, those peers would work for the whole fleet (a
-        /// seed of 301 nodes sent 6 MB/s, the median node 0.14 MB/s).
+        /// Whether the peer was selected while this node knew only a few. All nodes start with the
+        /// same few peers. If they kept polling these, those peers would serve the whole fleet
+        /// (with 301 nodes, a seed sent 6 MB/s, the median node 0.14 MB/s).
         bool is_initial_peer = false;
         bool is_first_request = true;
         bool last_call_succeeded = false;
@@ -176,8 +176,8 @@
     std::vector<net::endpoint> peers_;
     std::set<net::endpoint> known_peers_;
     /// Seeds at which no node has been confirmed. They are polled, but neither named to other nodes
-    /// nor selected. When they took part in the selection, twelve nodes with stale seeds lost four
-    /// in ten polls of the directory service, and a change went unnoticed for 2.7 s.
+    /// nor selected. With stale seeds in the selection, twelve nodes missed four in ten polls of
+    /// the directory service, and a change went unnoticed for 2.7 s.
     std::set<net::endpoint> unconfirmed_;
     /// Address hashes of the peers, in the order of `peers_`, and of this node.
     std::vector<std::uint64_t> address_hashes_;
--- a/src/pearbarrow/directory/service_watch.cc
+++ b/src/pearbarrow/directory/service_watch.cc
@@ -93,9 +93,9 @@
 }
 
 // Watches may miss changes silently, all of them at once and for seconds, and the nodes that watch
-// may fail, so some node has to poll periodically. The selection uses hashes of the addresses and
-// the interval: turns in the order of the nodes would shift whenever a node learns of another one,
-// and the nodes of one zone would come one after the other.
+// may fail, so some node has to poll periodically. The selection hashes the addresses and the
+// interval. A round robin would shift whenever a node learns of another one, and the nodes of one
+// zone would poll one after the other.
 bool service_watch::is_poll_due(const node_state& known) {
     const std::uint64_t interval = this->pacing.interval_at(known.unix_time);
     if (std::exchange(this->last_interval, interval) == interval || this->state == stage::reading ||
--- a/src/pearbarrow/directory/service_watch.h
+++ b/src/pearbarrow/directory/service_watch.h
@@ -1,7 +1,7 @@
 /// Decides when a node calls the directory service itself, given that other nodes do so too.
 ///
-/// A pure state machine: time, random numbers and the state of the node are inputs. The number of
-/// calls of a fleet is bounded independently of its size: a few nodes keep a watch open, and in
+/// A pure state machine: time is a parameter, and the constructor takes the random source. The
+/// calls of a fleet are bounded independently of its size: a few nodes keep a watch open, and in
 /// each interval of the time of day the selected nodes poll the service. All nodes compute the same
 /// selection without messages. A poll is a watch that does not wait: it returns the changes. If the
 /// service has a newer revision but reports no changes, it has dropped some of its history, and the
@@ -26,9 +26,9 @@
     base::milliseconds wait_for_reader{1'500};
     /// Delay after a failed read: between this and ten times as long.
     base::milliseconds min_retry_delay{100};
-    /// A watch that returns changes sooner than this indicates that the service changes all the
-    /// time. Polls return the same changes, so the node does not watch again. Without this bound,
-    /// all nodes ended up watching (2,207 calls in 49 s by 30 nodes, simulated with ten changes per
+    /// If a watch returns changes sooner than this, the service changes all the time. The node
+    /// then does not watch again, because polls return the same changes. Without this bound, all
+    /// nodes ended up watching (2,207 calls in 49 s by 30 nodes, simulated with ten changes per
     /// second).
     base::milliseconds short_watch{1'000};
     /// Maximum number of times that one poll is delegated. With a third of the nodes rejected by
@@ -39,7 +39,7 @@
 class service_watch {
   public:
     enum class call { read, watch, poll, delegate };
-    /// An operation that the caller must perform now.
+    /// An operation that the node performs now.
     struct action {
         call what = call::read;
         /// For a poll and its delegation: how often the poll has been delegated.
--- a/src/pearbarrow/fleet/edge_node.h
+++ b/src/pearbarrow/fleet/edge_node.h
@@ -41,7 +41,7 @@
     void update_gap_polling();
     /// Records the end of a time without updates.
     void poll_update_gap();
-    /// Returns a node that can relay calls to storage members.
+    /// Returns a random peer that may relay calls to storage members, or port 0 if there is none.
     net::endpoint relay_peer();
 
     node_parts parts_;
--- a/src/pearbarrow/fleet/storage_node.cc
+++ b/src/pearbarrow/fleet/storage_node.cc
@@ -200,7 +200,7 @@
     // Nothing has been granted from the shares of the previous incarnation since this member
     // started, so they refill from its start. Reading 17,000 turns from the disk takes a second, in
     // which all callers return after a power failure. With a refill from the end of the read, 612
-    // of 800 requests were refused by their limit in the following 0.75 s in a fleet of 61 nodes.
+    // of 800 requests were rejected by their limit in the following 0.75 s in a fleet of 61 nodes.
     const base::instant responsible_since = restoring_ ? started_at_ : now;
     if (changed.config) {
         const directory::configuration& config = *parts_.directory().state().current().config;
--- a/src/pearbarrow/forward/backend_pool.h
+++ b/src/pearbarrow/forward/backend_pool.h
@@ -1,9 +1,9 @@
-/// State of the back ends as one forwarding node sees it, and the selection of a back end for each
+/// State of the back ends as one edge sees it, and the selection of a back end for each
 /// request.
 ///
-/// The pool is a pure state machine: callers pass in time and random numbers. The node tracks its
-/// own requests exactly; without load reports, the load of other nodes shows only in rejections and
-/// latency.
+/// The pool is a pure state machine: time is a parameter, and the random source is passed to the
+/// constructor. The node tracks its own requests exactly; without load reports, the load of other
+/// nodes shows only in rejections and latency.
 #pragma once
 
 #include <cstdint>
@@ -75,19 +75,19 @@
     choice_kind choice = choice_kind::load;
     /// Time after a request during which the connection to its back end is assumed to be open.
     base::milliseconds connection_lifetime{9'000};
-    /// Time after the latest stream event during which the pace of a back end is valid.
+    /// Time after the latest stream event during which the event interval of a back end is valid.
     base::milliseconds pace_lifetime{1'000};
-    /// A node prefers as many back ends of a service as let it send each a request at this
-    /// interval, and uses others once those are fuller. A connection that is opened for a single
-    /// request costs its back end a handshake: 259 nodes with 153 back ends opened 36,046
-    /// connections for 95,581 requests without this rule, and 22,885 for 95,551 with it and
-    /// `min_in_zone`.
+    /// The preferred set of a node has as many back ends of a service as can each receive a request
+    /// of this node per interval. Others are used once these are fuller. A connection that is
+    /// opened for a single request costs its back end a handshake: 259 nodes with 153 back ends
+    /// opened 36,046 connections for 95,581 requests without this rule, and 22,885 for 95,551 with
+    /// it and `min_in_zone`.
     base::milliseconds reuse_interval{1'500};
     std::size_t min_preferred = 4;
-    /// Minimum number of back ends in the local zone for which the back end of a program is
-    /// selected there first. With fewer, the programs of a burst do not spread: a minimum of 4
-    /// lowers worth by 0.046 +- 0.026. A minimum of 17 saves connections but increases the tokens
-    /// read from 24.2 to 36.2 million, because callers change zones.
+    /// Minimum number of back ends in the local zone for which a program is placed there first.
+    /// With fewer, the programs of a burst do not spread: a minimum of 4 lowers the served value
+    /// (weighted share of requests served in time) by 0.046 +- 0.026. A minimum of 17 saves
+    /// connections but raises the tokens read from 24.2 to 36.2 million: callers change zones.
     std::size_t min_in_zone = 8;
     /// Load added to back ends outside the preferred set, in requests. It approximates the cost of
     /// a handshake and of a cold prompt.
@@ -102,10 +102,10 @@
     /// Backoff after another process responded at the address of the back end. It is longer than
     /// the directory service lists a process that has ended (three heartbeats of 1.2 s).
     base::milliseconds backoff_when_not_there{4'000};
-    /// Number of failures as which a silence or a response of another process is reported to other
-    /// nodes. Among thousands of back ends each receives less than one request per second, so a
-    /// second failure would come too late: with 985 nodes and 6,666 engines, five nodes sent
-    /// retries of one program to the same dead engine six times. With `min_failures` and the
+    /// Number of failures that one silence, or one response of another process, counts as in the
+    /// reports to other nodes. With thousands of back ends, each receives less than one request per
+    /// second, and a second failure comes too late: with 985 nodes and 6,666 engines, five nodes
+    /// sent retries of one program to the same dead engine six times. With `min_failures` and the
     /// half-life of the results, the weights exclude a back end for one and for two seconds.
     double silence_weight = 4;
     double not_there_weight = 8;
@@ -344,11 +344,11 @@
     candidate_entry with_remote_load(const pool_entry& entry, base::instant now) const;
 
     // Slowness and load of back ends, service_load.cc.
-    /// Returns the mean pace of the back end over all nodes in microseconds, or 0 if unknown.
+    /// Returns the back end's mean event interval over all nodes in microseconds, or 0 if unknown.
     static double mean_pace(const candidate_entry& item);
-    /// Returns the median pace of the entries, or 0 if none is known.
+    /// Returns the median event interval of the entries, or 0 if none is known.
     static double typical_pace(const candidate_entries& entries);
-    /// Returns the pace relative to the typical one if it exceeds the tolerated slowness, else 1.
+    /// Returns the event interval relative to `typical` if above the tolerated slowness, else 1.
     double slowness_of(const candidate_entry& item, double typical, base::instant now) const;
     /// Returns the number of concurrent requests the back end can serve, in slots of a typical back
     /// end.
--- a/src/pearbarrow/forward/choice_policy.h
+++ b/src/pearbarrow/forward/choice_policy.h
@@ -34,7 +34,7 @@
     /// that it executed recently started with the prefix that this prompt may share.
     bool is_reused = false;
 
-    // Inputs of the selection by cost, in microseconds.
+    // Inputs of the selection by cost. Fields that end in `_us` are in microseconds.
     std::string_view region;
     /// Prompt tokens sent by all nodes for which no first event has been received.
     double unread_tokens = 0;
@@ -44,7 +44,7 @@
     bool ran_previous = false;
     /// Expected wait until a slot is free.
     double queue_us = 0;
-    /// Expected time for all events of one response at the current pace of the back end.
+    /// Expected time for all events of one response at the current event interval.
     double generating_us = 0;
     /// Round-trip time to the back end.
     double round_trip_us = 0;
@@ -82,8 +82,8 @@
 
 /// Cost of a request at a back end, in microseconds.
 struct choice_cost {
-    /// Prefill time of the prompts queued before this one and of its own tokens, without those
-    /// assumed to be cached.
+    /// Prefill time of the queued prompts and of the tokens of this one not assumed to be cached,
+    /// plus the delay that it causes to concurrent requests (`others_share`).
     double prefill = 0;
     double queue = 0;
     double generating = 0;
@@ -151,9 +151,9 @@
     /// Cost of a new connection besides its round trip, which is the handshake at the back end.
     /// Microseconds.
     double connection_us = 5'000;
-    /// Number of back ends to compare: the one that executed the previous request with the key, the
-    /// first of each zone in the order of the key, and back ends of the local zone up to this
-    /// total.
+    /// Number of back ends to compare: the first of each other zone in the order of the key, and
+    /// back ends of the local zone up to this total, but at least one. The back end of the previous
+    /// request with the key and reused ones are compared in addition.
     std::size_t min_compared = 4;
     /// A request moves away from the back end of the previous request only if the cost elsewhere,
     /// multiplied by this factor, is still lower.
--- a/src/pearbarrow/forward/cost_inputs.cc
+++ b/src/pearbarrow/forward/cost_inputs.cc
@@ -1,4 +1,4 @@
-// Inputs of the selection by cost: prefill work, paces and round trips.
+// Inputs of the selection by cost: prefill work, event intervals and round trips.
 #include <algorithm>
 #include <cmath>
 
@@ -9,7 +9,7 @@
 
 /// Weight of the newest event in the mean gap. A stream has ten to thirty events.
 constexpr double newest_gap_weight = 0.1;
-/// Number of requests at which the pace of a back end and the typical pace have equal weight.
+/// Number of requests at which the event interval of a back end and the typical one weigh equally.
 constexpr double typical_weight = 3;
 /// Number of responses above which the older ones are halved.
 constexpr double counted_answers = 512;
--- a/src/pearbarrow/forward/forward_context.h
+++ b/src/pearbarrow/forward/forward_context.h
@@ -1,4 +1,4 @@
-/// State shared by all in-flight requests of a forwarding node.
+/// State shared by all in-flight requests of an edge.
 #pragma once
 
 #include <functional>
--- a/src/pearbarrow/forward/forwarded_attempt.cc
+++ b/src/pearbarrow/forward/forwarded_attempt.cc
@@ -300,7 +300,7 @@
     }
     end_attempt(ran ? attempt_result::broken : attempt_result::unreachable);
     if (!ran) {
-        // Nothing was sent, so the back end does not count as tried.
+        // Nothing was sent, so this does not count as an attempt. The back end stays excluded.
         --attempts_;
     }
     context_.log.notable("attempt_broken", {{"request", facts_.request_id},
--- a/src/pearbarrow/forward/forwarded_request.cc
+++ b/src/pearbarrow/forward/forwarded_request.cc
@@ -61,9 +61,9 @@
     advance();
 }
 
-/// Executes the next step before an attempt. The quota comes last: a turn that exceeds the budget
-/// of its program is never executed and must not use up the quota of its tenant. Under normal
-/// load this applies to 2,566 of 52,000 attempted turns, mostly of programs that loop forever.
+/// Executes the next step before an attempt. The quota follows the preparation: a turn that exceeds
+/// the budget of its program is never executed and must not use up the quota of its tenant. Under
+/// normal load, this is 2,566 of 52,000 attempted turns, mostly of programs that loop forever.
 void forwarded_request::advance() {
     if (reject_program_if_full()) {
         return;
@@ -264,7 +264,7 @@
     ++event_count_;
 }
 
-/// A stream is late if its first event is, or if the deadline of its program has passed.
+/// Late: after the objective (of a stream: its first event), or after the program's deadline.
 bool forwarded_request::is_late(base::instant now) const {
     if (facts_.program_left_ms.has_value() &&
         now - arrived_ > base::milliseconds{*facts_.program_left_ms}) {
--- a/src/pearbarrow/forward/forwarded_request.h
+++ b/src/pearbarrow/forward/forwarded_request.h
@@ -5,8 +5,8 @@
 /// assemble the prompt, and the response ends only after a majority of members has stored the turn.
 ///
 /// Invariants: a request that may be executed at most once is not sent again after any of its bytes
-/// may have reached a back end, unless that back end reported that it did not execute it. A status
-/// that promises "not run" is sent only if that holds.
+/// may have reached a back end, unless that back end reported that it did not execute it. A
+/// response states `"executed": "no"` only if that holds.
 #pragma once
 
 #include <functional>
@@ -49,8 +49,8 @@
     void reject_by_quota(const tenants::quota_decision& decision);
 
     // Permits for cold back ends, forwarded_permit.cc.
-    /// Requests a permit for the selected cold back end, or waits if the limit of permit requests
-    /// is reached.
+    /// Requests a permit for the selected cold back end. If the limit of permit requests is
+    /// reached, waits or rejects the request.
     void select_cold_backend();
     void request_permit(const slowstart::cold_start& target);
     void on_permit_reply(const slowstart::permit_decision& decision);
@@ -143,7 +143,7 @@
     void finish(int status, std::string_view reason);
     void record_event();
     void log_end(int status, std::string_view reason);
-    /// Returns whether the response was late enough that its log line is always written.
+    /// Returns whether the response is late. The log line of a late response is always written.
     bool is_late(base::instant now) const;
 
     base::milliseconds time_left() const;
@@ -204,7 +204,7 @@
 
     std::unique_ptr<net::http_call_handle> call_;
     std::optional<choice> placed_;
-    /// Service of the current selection.
+    /// Service of the current selection. `attempt_started_at_` precedes any wait for its permit.
     std::string service_;
     directory::backend target_;
     std::set<std::string> tried_backends_;
@@ -212,7 +212,7 @@
     std::uint32_t attempts_ = 0;
     bool attempt_open_ = false;
 
-    /// Response of the current attempt.
+    /// Response of the current attempt. `is_rejection_`: reported by the back end as not executed.
     int status_ = 0;
     net::http_headers headers_;
     std::string body_;
--- a/src/pearbarrow/forward/header_names.h
+++ b/src/pearbarrow/forward/header_names.h
@@ -1,4 +1,4 @@
-/// Names of the headers that carry request metadata between callers, forwarding nodes and back
+/// Names of the headers that carry request metadata between callers, edges and back
 /// ends.
 ///
 /// The defaults are the names of this project. An adapter replaces them with those of its
@@ -36,7 +36,7 @@
     std::string tenant = "X-Tenant";
     /// On a request to an engine: priority of the request, 0 is first.
     std::string engine_priority = "X-Engine-Priority";
-    /// Further headers that only forwarding nodes may set on requests to back ends. Those of
+    /// Further headers that only edges may set on requests to back ends. Those of
     /// callers are dropped, because a caller could use them to continue from the memory of another
     /// caller or to occupy space at an engine.
     std::vector<std::string> reserved;
--- a/src/pearbarrow/forward/pool_entry.h
+++ b/src/pearbarrow/forward/pool_entry.h
@@ -1,4 +1,4 @@
-/// Knowledge of a forwarding node about one incarnation of a back end. It is discarded when the
+/// Knowledge of an edge about one incarnation of a back end. It is discarded when the
 /// process restarts.
 #pragma once
 
--- a/src/pearbarrow/forward/program_admission.h
+++ b/src/pearbarrow/forward/program_admission.h
@@ -1,8 +1,8 @@
 /// Admission of new programs according to the load of their engines.
 ///
-/// Pure: callers pass in loads and random numbers. Turns of a program that has begun are always
-/// admitted, because its cost so far is lost if it does not complete. Load beyond what the engines
-/// can serve in time is therefore rejected at first turns, immediately and with a retry delay.
+/// Pure: loads and time are parameters; the constructor takes the random source. Turns of a program
+/// that has begun are always admitted, as its cost is lost if it does not complete. Load that the
+/// engines cannot serve in time is thus rejected at first turns, at once and with a retry delay.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace pearbarrow::forward {
 
-/// Aggregate load of the engines of a service, as known to one forwarding node.
+/// Aggregate load of the engines of a service, as known to one edge.
 struct service_load {
     std::string service;
     /// Requests that the engines can serve concurrently without slowing down. A slow engine counts
@@ -45,8 +45,8 @@
     double narrows_at = 0.8;
     double closes_at = 1.1;
     /// Minimum of the upper bound while turns are late. The lower bound shrinks in proportion, to
-    /// 0.65. With 0.6 (0.44), and with requests to tools counted as well, a burst of 1.5 lost 0.11
-    /// of worth to rejections.
+    /// 0.65. With 0.6 (0.44), and requests to tools counted as well, a burst of 1.5 lost 0.11 of
+    /// the served value (weighted share of requests served in time) to rejections.
     double min_closes_at = 0.9;
     /// Length and minimum number of turns of a measurement span, the share of late turns above
     /// which the bounds shrink, and the share below which they grow.
--- a/src/pearbarrow/forward/request_facts.h
+++ b/src/pearbarrow/forward/request_facts.h
@@ -49,7 +49,7 @@
                                          const header_names& names);
 
 /// Returns the headers to forward to a back end: all except hop-by-hop headers, the key and those
-/// that only forwarding nodes may set. The request id is always forwarded.
+/// that only edges may set. The request id is always forwarded.
 net::http_headers forwarded_headers(const net::http_headers& headers, const header_names& names);
 
 /// Returns the headers of a response to forward to the caller.
--- a/src/pearbarrow/net/buffered_bytes.h
+++ b/src/pearbarrow/net/buffered_bytes.h
@@ -1,9 +1,9 @@
 /// Accounting of the bytes that a node buffers: data that callers, back ends and other nodes have
 /// not read yet, and requests in flight.
 ///
-/// A process has one instance. When the total exceeds its bound, the owner with the most buffered
-/// bytes and no progress is cut off. A few slow readers therefore cannot exhaust the memory of the
-/// node and fail the requests of other callers.
+/// A process has one instance. While the total exceeds its bound, owners are cut off: stalled
+/// owners first, the largest of them first, then owners with progress. A few slow readers therefore
+/// cannot exhaust the memory of the node and fail the requests of other callers.
 #pragma once
 
 #include <array>
@@ -78,8 +78,8 @@
     /// Registers an owner, which may be cut off until it leaves.
     void add_owner(buffer_owner& owner) { this->owners.insert(&owner); }
     void remove_owner(buffer_owner& owner) { this->owners.erase(&owner); }
-    /// Cuts off owners until the total is within the bound: stalled owners first, and the largest
-    /// of them first. Must not be called from within an operation of an owner.
+    /// Cuts off owners until the total is within the bound: stalled owners, then owners with
+    /// progress, the largest first. Must not be called from within an operation of an owner.
     void enforce();
 
     bool is_over_bound() const {
--- a/src/pearbarrow/program/shard_owner.h
+++ b/src/pearbarrow/program/shard_owner.h
@@ -1,8 +1,8 @@
 /// The owner of one shard's programs: a state machine without I/O, time or randomness of its own.
 ///
 /// It orders each program's calls, tracks budgets and histories, and writes to the journal before
-/// it acts. It reaches back ends, placement and other owners through the actions that it returns.
-/// The shell passes every outcome back as an event. See docs/design/programs.md.
+/// it acts. It returns actions for back ends, placement and other owners; the code that executes
+/// them passes every outcome back as an event. See docs/design/programs.md.
 #pragma once
 
 #include <memory>
@@ -19,7 +19,7 @@
 
 /// One term of ownership of one shard. It is created when this node's ballot succeeds, receives
 /// `event::journal_recovered` first and is destroyed after `event::ownership_lost`. Requests that
-/// arrive before the recovery are refused with `not_owner` and a retry delay.
+/// arrive before the recovery are rejected with `not_owner` and a retry delay.
 class shard_owner {
   public:
     explicit shard_owner(owner_options options);
--- a/src/pearbarrow/settings/fleet_settings.h
+++ b/src/pearbarrow/settings/fleet_settings.h
@@ -32,16 +32,16 @@
     double affinity_factor = 1.2;
     double affinity_slack = 3;
     /// Whether engines are chosen by expected time (`forward/cost_policy.cc`) instead of requests
-    /// per slot. A burst of factor 3 in one of three regions yields a value of 0.576 without it and
-    /// 0.884 with it. Without a burst, the values are 0.884 and 0.871, because more connections are
-    /// opened.
+    /// per slot. With a burst of factor 3 in one of three regions, the served value (weighted share
+    /// of requests served in time) is 0.576 without it and 0.884 with it. Without a burst it is
+    /// 0.884 and 0.871, because more connections are opened.
     bool by_cost = true;
     /// Whether new programs are rejected while their engines are full
     /// (`forward/program_admission.h`).
     bool limits_programs = true;
     /// Whether requests to engines carry the priority of the turn (`forward/engine_priority.h`). It
-    /// is off because, together with `limits_programs`, a burst of factor 1.5 yields a value of
-    /// 0.66 to 0.67 with it and 0.78 without it.
+    /// is off because, together with `limits_programs`, the served value at a burst of factor 1.5
+    /// is 0.66 to 0.67 with it and 0.78 without it.
     bool sends_priority = false;
     /// How long back ends that vanish together stay in use. 0 disables this.
     base::milliseconds lapse_grace{1'800};
--- a/src/pearbarrow/slowstart/cold_table.h
+++ b/src/pearbarrow/slowstart/cold_table.h
@@ -1,8 +1,8 @@
 /// Tracks which back ends are cold from the view of one node, and for how much longer.
 ///
-/// A pure state machine that receives the time as a parameter. A back end in an unknown state
-/// counts as cold: one that appears for the first time, or again after a gap, has been idle, and
-/// all nodes see that at the same time.
+/// A pure state machine; time is a parameter. A back end in an unknown state counts as cold: one
+/// that appears for the first time, or again after a gap, has been idle, and all nodes see it
+/// appear at the same time.
 #pragma once
 
 #include <cstddef>
@@ -69,7 +69,7 @@
         bool unreachable = false;
         /// End of the cold time that the back end reports.
         base::instant cold_until{};
-        /// Time since which the back end may be in a start that no entry has reported.
+        /// Time since which the back end may have started without an entry that reports it.
         std::optional<base::instant> possibly_cold_since;
     };
 
--- a/src/pearbarrow/slowstart/start_permit.h
+++ b/src/pearbarrow/slowstart/start_permit.h
@@ -45,8 +45,8 @@
 class permit_source {
   public:
     virtual ~permit_source() = default;
-    /// Calls `done` once, never before this function returns. The caller must not destroy the
-    /// operation inside `done`; destroying it earlier cancels the request.
+    /// Calls `done` once, never before this function returns. The operation must not be
+    /// destroyed inside `done`; destroying it earlier cancels the request.
     [[nodiscard]] virtual std::unique_ptr<turns::turn_operation> request_permit(
         const cold_start& target, std::function<void(const permit_decision&)> done) = 0;
 };
--- a/src/pearbarrow/tenants/quota_client.h
+++ b/src/pearbarrow/tenants/quota_client.h
@@ -61,8 +61,8 @@
     quota_client& operator=(const quota_client&) = delete;
 
     void set_view(const directory::storage_view& view) { this->view = view; }
-    /// Calls `done` once, never before this function returns. The caller must not destroy the
-    /// operation inside `done`; destroying it earlier cancels the request.
+    /// Calls `done` once, never before this function returns. The operation must not be
+    /// destroyed inside `done`; destroying it earlier cancels the request.
     [[nodiscard]] std::unique_ptr<turns::turn_operation> request_grant(
         grant_request request, std::function<void(const quota_decision&)> done);
     const quota_client_options& limits() const { return this->options; }
--- a/src/pearbarrow/tenants/quota_ledger.h
+++ b/src/pearbarrow/tenants/quota_ledger.h
@@ -25,24 +25,24 @@
 
 struct quota_options {
     base::node_id self;
-    /// Tokens that a share holds beyond its part of the burst, since a tenant with few requests per
-    /// second sends them in bursts. Three members with 4 each use 12 of a slack of 20 requests per
-    /// window.
+    /// Bucket tokens (one per grant) that a share holds beyond its part of the burst, since a
+    /// tenant with few requests per second sends them in bursts. Three members with 4 each use 12
+    /// of a slack of 20 requests per window.
     double extra_tokens = 4;
-    /// How many of the extra tokens a member has when it becomes responsible for a tenant.
+    /// Number of bucket tokens that a member has when it becomes responsible for a tenant.
     double initial_tokens = 1;
     /// Length of the windows in which the operator counts requests. Each window allows the rate
     /// times its length plus the burst, and a share refills at its part of that. With 0 a share
     /// refills at its part of the rate alone.
     base::milliseconds window{0};
     /// Fraction of the window whose rate a share holds besides the burst, since programs send in
-    /// bursts. Together with trying all members before a refusal, it lowers the refused requests of
+    /// bursts. Together with trying all members before a rejection, it lowers the rejected share of
     /// a normal day from 0.040 to 0.021. With twice this fraction, a tenant that sends a burst just
     /// before all members are killed exceeds its limit by what they grant after their restart.
     double window_rate_fraction = 0.2;
     /// How long after it was issued a grant of the previous window may be used.
     base::milliseconds grant_lifetime{200};
-    /// Fraction of a share that is reserved for programs in progress. A program that is refused
+    /// Fraction of a share that is reserved for programs in progress. A program that is rejected
     /// midway has wasted all requests that it has used.
     double reserved_for_programs = 0.3;
     /// A program without a request for this long counts as finished or idle.
--- a/src/pearbarrow/turns/group_views.h
+++ b/src/pearbarrow/turns/group_views.h
@@ -1,4 +1,4 @@
-/// The voters of each replica group, as known to one forwarding node.
+/// The voters of each replica group, as known to one edge.
 ///
 /// Performs no I/O. The views normally are parts of the directory's storage view. A storage member
 /// that rejects a request because it is based on older voters returns its own group's view, which
--- a/src/pearbarrow/turns/storage_membership.h
+++ b/src/pearbarrow/turns/storage_membership.h
@@ -80,8 +80,8 @@
     /// Logs when the member starts or stops waiting to enter a group.
     void log_waiting(bool is_waiting);
     std::optional<directory::storage_view> view_without_dead_member() const;
-    /// Returns whether the voters of this member's group are settled; if they are not, speeds up
-    /// their settlement.
+    /// Returns whether the voters of this member's group are settled. If they are not, asks the
+    /// replica to settle them sooner.
     bool can_remove_voter() const;
     /// Returns the view of this member's group; empty if the view does not contain this member.
     directory::storage_view own_group() const;
--- a/src/pearbarrow/turns/turn_client.h
+++ b/src/pearbarrow/turns/turn_client.h
@@ -1,4 +1,4 @@
-/// Client of the storage members on forwarding nodes: reserves tokens, reads chains and stores
+/// Client of the storage members on edges: reserves tokens, reads chains and stores
 /// turns.
 ///
 /// Writes go to every member of the program's replica group; an operation succeeds once a majority
@@ -47,12 +47,12 @@
     /// Reserves tokens and reads the chain once the members have capacity for it. `done` runs once.
     [[nodiscard]] std::unique_ptr<turn_operation> prepare(turn_request request,
                                                           std::function<void(prepared_turn)> done);
-    /// Stores a finished turn and its cost. `done` runs once a majority has stored it, or with an
-    /// error after `timeout`.
+    /// Stores a finished turn and the tokens that it used. `done` runs once a majority has stored
+    /// both, or with an error after `timeout`.
     [[nodiscard]] std::unique_ptr<turn_operation> store(finish_request request,
                                                         base::milliseconds timeout,
                                                         std::function<void(absl::Status)> done);
-    /// Sends the cost of a turn to the members without waiting for a reply.
+    /// Sends the tokens that the turn used to the members without waiting for a reply.
     void settle(const reservation& settled);
     /// Returns the queue of the program's turns. Each replica group has its own queue, so a slow
     /// group delays only its own turns.
--- a/src/pearbarrow/turns/turn_preparation.cc
+++ b/src/pearbarrow/turns/turn_preparation.cc
@@ -109,8 +109,8 @@
         on_chain_result(member, reply->is_complete, reply->chain, std::move(reply->chain_text));
     }
     if (budget_fits_) {
-        // The chain arrives after the majority has confirmed if the disk of its member is the
-        // slowest.
+        // If the member that sends the chain has the slowest disk, the chain arrives after the
+        // majority has confirmed.
         finish_if_ready();
         return;
     }
--- a/src/pearbarrow/turns/turn_replica.h
+++ b/src/pearbarrow/turns/turn_replica.h
@@ -1,12 +1,12 @@
 /// A storage member: stores turns and reservations before it confirms them, and synchronizes with
 /// the other members of its group.
 ///
-/// Protocol: forwarding nodes write to every member of a replica group and count the confirmations
-/// themselves, so a member confirms only its own state. Members of a group periodically list each
-/// other's changes and fetch the turns that they lack. A member with a new disk becomes complete
-/// once it has read from enough complete members that at least one of them has every confirmed
-/// write (`storage_view`). A member that enters another group starts there as with a new disk; one
-/// that was not a voter for a while keeps its data but is not complete.
+/// Protocol: edges write to every member of a replica group and count the confirmations themselves,
+/// so a member confirms only its own state. Members of a group periodically request listings of
+/// each other's changes and fetch the turns that they lack. A member with a new disk becomes
+/// complete once it has read from enough complete members that at least one of them has every
+/// confirmed write (`storage_view`). A member that enters another group starts there as with a new
+/// disk; one that was not a voter for a while keeps its data but is not complete.
 ///
 /// Invariants: everything that a member has confirmed survives a power loss; a member confirms
 /// nothing to a sender that relies on voters of its group that the member knows to be replaced
@@ -65,7 +65,7 @@
     bool is_complete() const { return complete_; }
     /// Returns the replica group whose data the disk holds; empty if it has entered no group yet.
     std::optional<std::uint32_t> group() const { return group_; }
-    /// Returns the load table that forwarding nodes report to.
+    /// Returns the load table that edges report to.
     dispatch::load_table& load_table() { return load_table_; }
     /// Sets how long the reservations of an idle program are kept.
     void set_reservation_retention(base::seconds time) {
@@ -78,21 +78,21 @@
     void on_listed(std::function<void()> callback) { on_listed_ = std::move(callback); }
     /// Returns whether `member` has stored everything that this member has stored or is storing.
     bool has_everything(const base::node_id& member) const;
-    /// Returns when the member last replied to a listing, or the start time of this object if it
-    /// never did.
+    /// Returns when the member last replied to a listing request of this one, or the start time of
+    /// this object if it never did.
     base::instant last_reply_from(const base::node_id& member) const;
-    /// Returns whether everything that the member had at its last listing is stored here.
+    /// Returns whether all changes that the member had at its last listing for this one are stored.
     bool is_caught_up_with(const base::node_id& member) const;
     std::size_t turn_count() const { return index_.turn_count(); }
     std::size_t program_count() const { return index_.program_count(); }
     std::size_t pending_writes() const { return pending_writes_; }
-    /// Returns the number of forwarding nodes whose load is known.
+    /// Returns the number of edges whose load is known.
     std::size_t reporting_nodes() const { return load_table_.node_count(); }
     /// Returns the number of other members that this one is not caught up with.
     std::size_t lagging_members() const;
     /// Returns whether a voter of the group may leave (`view_settlement`).
     bool is_settled() const { return settlement_.is_settled(); }
-    /// Lists the other members more often until the voters are settled.
+    /// Requests listings of the other members more often until the voters are settled.
     void accelerate_settlement();
     /// Returns whether the newest known voters are persisted. Until then, a restarted member would
     /// forget that it is no longer a voter and rejoin as one that has missed nothing.
@@ -115,7 +115,7 @@
         change_number taken;
         bool was_complete = false;
         bool is_caught_up = false;
-        /// Newest voters that the member reported with its last listing.
+        /// Newest voters that the other member reported in its last listing to this one.
         view_stamp view;
         base::instant last_reply_at;
         std::unique_ptr<net::peer_call_handle> call;
@@ -178,7 +178,7 @@
     turn_store& store_;
     replica_options options_;
     turn_index index_;
-    /// Loads that forwarding nodes have reported.
+    /// Loads that edges have reported.
     dispatch::load_table load_table_;
     disk_id disk_;
     /// View of the member's own group.
--- a/tests/unit/forward/forward_service_test.cc
+++ b/tests/unit/forward/forward_service_test.cc
@@ -53,7 +53,7 @@
     return config;
 }
 
-/// A forwarding node with storage members that never reply.
+/// An edge with storage members that never reply.
 struct silent_members_fixture {
     silent_members_fixture() {
         this->turns->set_view(turns::testing::view_of_three());
--- a/tests/unit/forward/forwarded_permit_test.cc
+++ b/tests/unit/forward/forwarded_permit_test.cc
@@ -144,7 +144,7 @@
     return config;
 }
 
-/// A forwarding node in front of back ends that record the requests they receive.
+/// An edge in front of back ends that record the requests they receive.
 struct node_fixture {
     node_fixture() {
         net::http_server_options options;
@@ -318,7 +318,7 @@
     cr_assert(exchange->answer->status == 200);
 }
 
-Test(forwarded_permit, turn_of_running_program_waits_at_most_its_objective) {
+Test(forwarded_permit, turn_of_running_program_is_rejected_after_waiting) {
     node_fixture node;
     node.set_backends({}, {"cold"});
     const auto started_at = node.clock.now();
--- a/tests/unit/forward/slow_reader_test.cc
+++ b/tests/unit/forward/slow_reader_test.cc
@@ -47,7 +47,7 @@
     return config;
 }
 
-/// A forwarding node between real callers and one back end.
+/// An edge between real callers and one back end.
 struct slow_reader_fixture {
     /// If `holds_back` is true, the node counts its buffered bytes and applies backpressure.
     explicit slow_reader_fixture(std::size_t bound, bool holds_back = true)
--- a/tests/unit/forward/zone_rules_test.cc
+++ b/tests/unit/forward/zone_rules_test.cc
@@ -83,7 +83,7 @@
     std::optional<net::http_response> answer;
 };
 
-/// A forwarding node in zone `a` with one back end in `a` and one in `b`.
+/// An edge in zone `a` with one back end in `a` and one in `b`.
 struct place_fixture {
     explicit place_fixture(const std::vector<std::string>& regions = {}) {
         this->pool.set_zone_rules(this->rules);
--- a/tests/unit/tenants/quota_simulation_test.cc
+++ b/tests/unit/tenants/quota_simulation_test.cc
@@ -170,7 +170,7 @@
                 this->unreachable_until[node] =
                     this->now + static_cast<std::int64_t>(this->random.below(2'000'000));
                 return;
-            default:  // a forwarding node is paused
+            default:  // an edge is paused
                 this->paused_until[this->random.below(edge_count)] =
                     this->now + static_cast<std::int64_t>(this->random.below(3'000'000));
         }
--- a/tests/unit/turns/overload_test.cc
+++ b/tests/unit/turns/overload_test.cc
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// Members that process entry request at a time, including requests whose callers no longer wait
+/// Members that process one request at a time, including requests whose callers no longer wait
 /// for a reply.
 class busy_members final : public member_caller {
   public:
@@ -89,7 +89,7 @@
     std::map<base::node_id, base::instant> free_at;
 };
 
-/// One turn of a caller: up to three attempts, with a delay after each failed entry.
+/// One turn of a caller: up to three attempts, with a delay after each failed one.
 struct caller {
     base::instant arrived_at;
     int attempts = 0;
