--- a/src/pearbarrow/fleet/node_parts.h
+++ b/src/pearbarrow/fleet/node_parts.h
@@ -1,4 +1,4 @@
-/// What both kinds of fleet node are made of: loop, links, directory, metrics.
+/// The parts that edges and storage members share: event loop, links, directory and metrics.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,8 @@
 #include "pearbarrow/directory/directory_exchange.h"
 #include "pearbarrow/fleet/node_gauges.h"
 #include "pearbarrow/fleet/work_log.h"
+#include "pearbarrow/net/buffered_bytes.h"
 #include "pearbarrow/net/event_loop.h"
-#include "pearbarrow/net/held_bytes.h"
 #include "pearbarrow/net/http.h"
 #include "pearbarrow/net/peer_rpc.h"
 #include "pearbarrow/settings/fleet_settings.h"
@@ -32,10 +32,10 @@
     node_parts(const node_parts&) = delete;
     node_parts& operator=(const node_parts&) = delete;
 
-    /// Opens the links and the metrics address. Register every peer method before.
+    /// Opens the links and the metrics listener. Peer methods must be registered before.
     absl::Status start();
-    /// Takes what may change while the node runs: the seeds.
-    void take_settings(const settings::fleet_settings& next);
+    /// Applies the settings that may change at run time.
+    void apply_settings(const settings::fleet_settings& next);
 
     net::event_loop& loop() { return loop_; }
     const base::clock& clock() const { return clock_; }
@@ -43,8 +43,8 @@
     base::metrics_registry& metrics() { return metrics_; }
     node_gauges& gauges() { return gauges_; }
     net::peer_rpc& rpc() { return *rpc_; }
-    /// What the node holds for callers, back ends and peers.
-    const std::shared_ptr<net::held_bytes>& held() const { return held_; }
+    /// Returns the account of the bytes that the node buffers for callers, back ends and peers.
+    const std::shared_ptr<net::buffered_bytes>& buffered() const { return buffered_; }
     directory::directory_exchange& directory() { return *exchange_; }
     const settings::fleet_settings& settings() const { return settings_; }
 
@@ -57,7 +57,7 @@
     base::random_source random_;
     base::metrics_registry metrics_;
     node_gauges gauges_;
-    std::shared_ptr<net::held_bytes> held_;
+    std::shared_ptr<net::buffered_bytes> buffered_;
     std::unique_ptr<net::peer_rpc> rpc_;
     std::unique_ptr<directory::directory_exchange> exchange_;
     std::unique_ptr<net::http_server> metrics_server_;
