--- a/src/pearbarrow/base/status.cc
+++ b/src/pearbarrow/base/status.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view executed_key = "pearbarrow/executed";
 constexpr std::string_view retry_after_key = "pearbarrow/retry-after-ms";
 
-// Debian builds Abseil with its own string_view, which std::string_view does not convert to.
+// Debian builds Abseil with its own string_view, to which std::string_view does not convert.
 absl::string_view to_absl(std::string_view text) {
     return {text.data(), text.size()};
 }
@@ -75,7 +75,7 @@
     return details;
 }
 
-absl::Status at_step(absl::Status status, std::string_view step, std::string_view peer) {
+absl::Status with_step(absl::Status status, std::string_view step, std::string_view peer) {
     if (status.ok() || status.GetPayload(to_absl(step_key)).has_value()) {
         return status;
     }
--- a/src/pearbarrow/forward/forward_context.h
+++ b/src/pearbarrow/forward/forward_context.h
@@ -1,4 +1,4 @@
-/// What all requests under way on a forwarding node share.
+/// State shared by all in-flight requests of an edge.
 #pragma once
 
 #include <functional>
@@ -12,10 +12,10 @@
 #include "pearbarrow/forward/backend_traffic.h"
 #include "pearbarrow/forward/forward_log.h"
 #include "pearbarrow/forward/header_names.h"
-#include "pearbarrow/forward/program_gate.h"
+#include "pearbarrow/forward/program_admission.h"
 #include "pearbarrow/net/event_loop.h"
 #include "pearbarrow/net/http.h"
-#include "pearbarrow/places/place_rules.h"
+#include "pearbarrow/places/zone_rules.h"
 #include "pearbarrow/slowstart/start_permit.h"
 #include "pearbarrow/tenants/quota_client.h"
 #include "pearbarrow/tenants/tenant_table.h"
@@ -23,7 +23,7 @@
 
 namespace pearbarrow::forward {
 
-/// The configuration in force, in the form in which requests use it.
+/// The active configuration with the lookup tables derived from it.
 struct active_configuration {
     directory::configuration config;
     directory::route_table routes;
@@ -32,19 +32,18 @@
 
 struct forward_options {
     header_names headers;
-    /// Bound of a request whose caller and route set none.
+    /// Timeout of a request whose caller and route set none.
     base::milliseconds default_timeout{30'000};
-    /// Told to a caller whose request was refused and may soon be served.
+    /// Retry delay sent to a caller whose request was rejected and may soon be served.
     base::milliseconds retry_after{100};
-    /// Longest time to store a turn that has ended.
+    /// Timeout for storing a turn that has ended.
     base::milliseconds store_timeout{4'000};
     base::milliseconds connect_timeout{500};
-    /// A permit for a cold back end is used within this time of its question, or not at all:
-    /// members count their windows longer by it, and by some more for the connection
-    /// (`start_quota.h`).
+    /// Time after a permit request within which a permit for a cold back end must be used. Members
+    /// extend their windows by this value and by a margin for the connection (`start_quota.h`).
     base::milliseconds permit_lifetime{150};
-    /// Engines are told how urgent a turn is (`engine_priority.h`).
-    bool tells_priority = false;
+    /// Whether requests to engines carry a priority (`engine_priority.h`).
+    bool sends_priority = false;
 };
 
 struct forward_context {
@@ -55,20 +54,20 @@
     backend_pool& pool;
     turns::turn_client& turns;
     tenants::quota_client& quotas;
-    program_gate& gate;
+    program_admission& admission;
     forward_log& log;
     forward_options options;
     /// Null while no configuration is known.
     std::shared_ptr<const active_configuration> active;
-    /// Whether somebody would have told of a newer configuration; empty: always.
-    std::function<bool()> hears_of_changes;
-    /// Where requests may go; null: anywhere.
-    const places::place_rules* places = nullptr;
-    /// Whether a cold back end bears a request; null: all are sent to at once.
+    /// Returns whether this node would be notified of a newer configuration. If empty, always true.
+    std::function<bool()> receives_updates;
+    /// Zone rules. If null, requests may go anywhere.
+    const places::zone_rules* zone_rules = nullptr;
+    /// Source of permits for cold back ends. If null, requests are sent without permits.
     slowstart::permit_source* permits = nullptr;
     backend_traffic traffic = backend_traffic();
-    /// What the node holds for others; null: without a bound.
-    std::shared_ptr<net::held_bytes> held = nullptr;
+    /// Accounting of buffered bytes. If null, buffers are unbounded.
+    std::shared_ptr<net::buffered_bytes> buffered = nullptr;
 };
 
 }  // namespace pearbarrow::forward
